--- a/packages/bendfall-edge/src/BendfallEdgeDialect.ts
+++ b/packages/bendfall-edge/src/BendfallEdgeDialect.ts
@@ -1,6 +1,7 @@
 /**
- * Ports by which an adapter translates between a platform and the router. An
- * adapter decodes names and formats; it decides nothing.
+ * Interfaces that a platform adapter implements to translate between a platform's wire
+ * formats and the router. An adapter only encodes and decodes names and formats; all
+ * decisions are made by the router.
  *
  * @module
  */
@@ -10,157 +11,157 @@
 import type { Result } from 'ts-results-es'
 import type { ReplicaCallRequest } from './replica/BendfallEdgeReplicaCall.js'
 
-/** Header names and values by turns, as on the wire. */
+/** Alternating header names and values, as on the wire. */
 export type RawHeaders = readonly string[]
 
-/** A request as its caller sent it. */
+/** A request as sent by its caller. */
 export interface CallerRequest {
   readonly requestId: string
   readonly deadlineMs?: number
   readonly prompt?: Prompt
-  /** Of the caller's key; absent when none came, or more than one. */
+  /** Digest of the caller's API key; absent if the request has no key or several. */
   readonly keyDigest?: string
   readonly lastEventId?: string
-  /** Headers that go on to the replica, without those that the router sets. */
+  /** Headers to forward to the replica, without those that the router sets itself. */
   readonly forwardHeaders: RawHeaders
 }
 
-/** Why a caller's request can't be taken. */
+/** Error response for a request that the router rejects. */
 export interface BadRequest {
   readonly status: number
   readonly message: string
 }
 
-/** What goes with a request that a replica is to run. */
+/** Parameters that the router adds to a request sent to a replica for execution. */
 export interface RunOrder {
   readonly replicaId: string
   readonly deadlineMs: number
-  /** Name of the customer whose request it is. */
+  /** Name of the customer who owns the request. */
   readonly customer?: string
-  /** Address and handle of a prefill's result. */
+  /** Address and handle of the prefill result to start from. */
   readonly source?: string
-  /** Memory that the replica holds for the request. */
+  /** Id of the memory hold that the replica has granted for the request. */
   readonly holdId?: string
   readonly lastEventId?: string
 }
 
-/** What goes with a prompt that a replica is to read. */
+/** Parameters that the router adds to a prompt sent to a replica for prefill. */
 export interface PrefillOrder {
   readonly replicaId: string
   readonly deadlineMs: number
-  /** Name of the customer whose request it is. */
+  /** Name of the customer who owns the request. */
   readonly customer?: string
 }
 
-/** Memory that a replica is to hold. */
+/** Amount and duration of the memory that a replica is asked to hold. */
 export interface HoldOrder {
   readonly replicaId: string
   readonly tokens: number
   readonly ttlMs: number
 }
 
-/** An order that a replica is to change its pool. */
+/** Order to a replica to change its stage, and thereby its pool. */
 export interface StageOrder {
   readonly replicaId: string
   readonly stage: ReplicaStage
   readonly holder: string
-  /** Fencing token of the holder's lease. */
+  /** Fencing token of the lease of the leader that gives the order. */
   readonly fence: number
 }
 
-/** What the head of a replica's answer tells. */
+/** Decoded status line and headers of a replica's response. */
 export interface AnswerHead {
-  /** Absent when the replica did not echo it. */
+  /** Request id echoed by the replica; absent if it echoed none. */
   readonly requestId?: string
-  /** The replica says that it did not run the request. */
+  /** Whether the replica states that it did not execute the request. */
   readonly isNotRun: boolean
-  /** Another replica has the address. */
+  /** Whether the address now belongs to another replica. */
   readonly isWrongReplica: boolean
-  /** The replica vouches for the answer. */
+  /** Whether the response bears the replica's signature. */
   readonly isSigned: boolean
-  /** What the replica says of itself. */
+  /** Status that the replica reports about itself. */
   readonly notice: ReplicaNotice
 }
 
-/** A method and path without a body. */
+/** A request without a body. */
 export interface PlainCall {
   readonly method: 'GET' | 'DELETE'
   readonly path: string
 }
 
-/** A request that a replica holds. */
+/** A request that a replica is executing. */
 export interface EngineRun {
   readonly requestId: string
   readonly tokensInMemory: number
   readonly eventsMade: number
 }
 
-/** Load of a model replica as it tells itself. */
+/** Load of a model replica as reported by the replica itself. */
 export interface EngineReport {
-  /** Start of the replica's process, Unix time; absent where the platform does not tell it. */
+  /** Start of the replica's process in Unix time; absent if the platform doesn't report it. */
   readonly startedAtMs?: number
   readonly stage: ReplicaStage
   readonly usedTokens: number
   readonly capacityTokens: number
   readonly queued: number
   readonly active: number
-  /** Whether the replica changes its stage now. */
+  /** Whether the replica is changing its stage. */
   readonly isSwitching: boolean
-  /** Whether the replica says that it leaves. */
+  /** Whether the replica reports that it is shutting down. */
   readonly isLeaving: boolean
-  /** Requests a second that it takes from all entries together; absent: it names no limit. */
+  /** Requests per second that it accepts from all entries together; absent if it states no limit. */
   readonly limitPerS?: number
   readonly runs: readonly EngineRun[]
 }
 
-/** Requests of callers. */
+/** Decodes callers' requests. */
 export interface CallerDialect {
-  /** Path at which the platform asks whether the process takes requests. */
+  /** Path of the platform's readiness probe. */
   readonly readyPath: string
   /**
    * @param headers - raw headers of the request
-   * @returns the request, or why it can't be taken
+   * @returns the decoded request, or the error response if it is invalid
    */
   readonly readRequest: (headers: RawHeaders) => Result<CallerRequest, BadRequest>
 }
 
-/** Calls to replicas. */
+/** Encodes calls to replicas and decodes their responses. */
 export interface ReplicaDialect {
-  /** Headers that the router adds to a request that is to run. */
+  /** Returns the headers that the router adds to a request for execution. */
   readonly runHeaders: (order: RunOrder) => RawHeaders
-  /** Headers that the router adds to a prompt that is to be read. */
+  /** Returns the headers that the router adds to a prefill request. */
   readonly prefillHeaders: (order: PrefillOrder) => RawHeaders
   readonly readAnswerHead: (status: number, headers: IncomingHttpHeaders) => AnswerHead
-  /** @returns the handle of the result, or what is wrong with the body */
+  /** @returns the handle of the prefill result, or a description of the error in the body */
   readonly readPrefillResult: (body: Buffer) => Result<string, string>
   readonly freeHandle: (handle: string) => PlainCall
-  /** Asks a replica to hold memory for a request that will come. */
+  /** Builds the call that asks a replica to hold memory for an upcoming request. */
   readonly takeHold: (order: HoldOrder) => ReplicaCallRequest
   readonly readHoldAnswer: (status: number, body: Buffer) => HoldOutcome
   readonly dropHold: (holdId: string) => PlainCall
-  /** Order to change the pool. */
+  /** Builds the call that orders a replica to change its stage. */
   readonly stageOrder: (order: StageOrder) => ReplicaCallRequest
   readonly readOrderStatus: (status: number) => OrderOutcome
   readonly report: PlainCall
-  /** @returns the load, or what is wrong with the body */
+  /** @returns the load report, or a description of the error in the body */
   readonly readReport: (body: Buffer, headers: IncomingHttpHeaders) => Result<EngineReport, string>
 }
 
-/** Entries of the platform's key-value service. */
+/** Decodes entries of the platform's key-value service. */
 export interface DirectoryDialect {
-  /** Begins the keys of both of the following, so that one watch tells all changes. */
+  /** Common prefix of the configuration and replica keys, so that a single watch covers both. */
   readonly sharedPrefix: string
   readonly configPrefix: string
   readonly replicaPrefix: string
-  /** @returns the configuration, or what is wrong with the entry */
+  /** @returns the configuration, or a description of the error in the entry */
   readonly readConfig: (entry: KeyValueEntry) => Result<RouterConfig, string>
-  /** @returns the id that a key names */
+  /** @returns the id of the replica that is registered under a key */
   readonly readReplicaId: (key: string) => string
-  /** @returns the replica, or what is wrong with the entry */
+  /** @returns the replica, or a description of the error in the entry */
   readonly readReplica: (entry: KeyValueEntry) => Result<Replica, string>
 }
 
-/** A platform's dialect. */
+/** Complete adapter of a platform. */
 export interface Dialect {
   readonly caller: CallerDialect
   readonly replica: ReplicaDialect
--- a/packages/bendfall-edge/src/BendfallEdgeEntry.ts
+++ b/packages/bendfall-edge/src/BendfallEdgeEntry.ts
@@ -1,5 +1,6 @@
 /**
- * Wires the entry: callers, decisions, replicas, ledgers and directory.
+ * Wires the entry process, which accepts callers' requests: HTTP server, routing decisions,
+ * connections to replicas, memory ledgers and the directory.
  *
  * @module
  */
@@ -34,7 +35,7 @@
 import { createReplicaPools } from './replica/BendfallEdgeReplicaPools.js'
 import { registerSends } from './replica/BendfallEdgeSends.js'
 
-/** What an entry is made of. */
+/** Dependencies and settings of an entry. */
 export interface EntryOptions {
   readonly settings: EdgeSettings
   readonly dialect: Dialect
@@ -42,45 +43,48 @@
   readonly logger: Logger
   readonly metrics?: Metrics
   readonly clock?: Clock
-  /** What operators confirmed for the pools; absent: they stay as they are. */
+  /** Prefill shares for the pools, confirmed by operators; if absent, the pools stay unchanged. */
   readonly poolIntent?: PoolIntent
 }
 
-/** An entry that runs. */
+/** A running entry. */
 export interface Entry {
   readonly state: () => RouterState
-  /** Says not ready, finishes what runs, cuts what the grace time does not suffice for, and stops. */
+  /** Reports not ready, waits for open requests, aborts those still open after the grace period, and stops. */
   readonly stop: () => Promise<void>
-  /** Cuts all answers that are not out, at once; for the end of the process. */
+  /** Immediately aborts all responses that have not been fully sent; called when the process exits. */
   readonly cutOpen: () => void
 }
 
-/** Callers are sent here until the platform has seen that the process is not ready: two questions, a second apart, and one more. */
+/**
+ * Minimum time to keep serving after a stop was requested. The platform keeps routing callers
+ * here until it has seen two failed readiness probes, one second apart, plus one more probe.
+ */
 const LINGER_MS = 3_200
 
-/** Kept before the process would be killed. */
+/** Time reserved between the end of the graceful stop and the kill of the process. */
 const KILL_MARGIN_MS = 700
 
 const MS_PER_SECOND = 1_000
 
 const NO_CUSTOMERS: ReadonlyMap<string, Customer> = new Map()
 
-/** Requests named in the line about cut answers. */
+/** Maximum number of request ids in the log line about aborted responses. */
 const LOGGED_CUTS = 50
 
-/** Between two looks whether all requests have ended. */
+/** Interval between checks whether all requests have ended. */
 const STOP_CHECK_MS = 50
 
 /**
  * Starts an entry.
  *
- * @param options - settings, dialect and service
- * @returns the entry once it listens
- * @throws Error when settings lack an address or it can't be bound
+ * @param options - settings, platform adapter, key-value service and logger
+ * @returns the entry, once it is listening
+ * @throws Error if a listen address is missing from the settings or can't be bound
  */
 export async function startEntry (options: EntryOptions): Promise<Entry> {
   const { clock = createSystemClock(), dialect, keyValue, logger, metrics = createMetrics(), settings } = options
-  if (settings.callersListen === undefined || settings.readyListen === undefined) throw new Error('settings of an entry need callersListen and readyListen')
+  if (settings.callersListen === undefined || settings.readyListen === undefined) throw new Error('entry settings require callersListen and readyListen')
   const teardowns = createTeardownStack()
   const state = createRouterState(Math.floor(Math.random() * 0xffffffff), settings.instanceId, decisionsOf(settings), budgetLimitsOf(settings), crashLimitsOf(settings), credentialLimitsOf(settings))
   const readSuspendedMs = createSuspensionWatch(clock)
@@ -197,7 +201,8 @@
     }
     while (!isOver()) await wait(STOP_CHECK_MS)
     logger.info('stopped', { open: state.requests.size })
-    // Before the server closes: it closes connections in order, also under an answer that is whole but not out.
+    // Must precede server.close(), which ends connections gracefully even if a response is
+    // complete but not yet fully sent.
     const cut = open.cut()
     logCut(cut)
     if (cut.length > 0) await wait(2 * RESET_PAUSE_MS)
@@ -252,7 +257,8 @@
   })
 }
 
-// Time is an event too, so that a process that stood still knows it before it acts.
+// Dispatches the passage of time as an event, so that a suspended process detects the pause
+// before it makes decisions.
 function registerTicks ({ clock, dispatch }: UpdateLoop<RouterEvent, RouterEffect>): Teardown {
   let cancel: Teardown = () => {}
   const tick = (): void => {
--- a/packages/bendfall-edge/src/BendfallEdgeSettings.ts
+++ b/packages/bendfall-edge/src/BendfallEdgeSettings.ts
@@ -1,5 +1,5 @@
 /**
- * Settings of a process of the router: what it is told at its start.
+ * Startup settings of a router process: their type, JSON schema, defaults and validation.
  *
  * @module
  */
@@ -9,67 +9,67 @@
 import type { AllotmentBounds, BudgetLimits, CrashLimits, CredentialLimits, PoolDocument, RouterDecisions } from 'bendfall-router'
 import type { Result } from 'ts-results-es'
 
-/** Settings of a process. */
+/** Startup settings of a router process. */
 export interface EdgeSettings {
   readonly instanceId: string
   readonly availabilityZone: string
-  /** IP number of the instance. */
+  /** IP address of the instance. */
   readonly ip: string
   /** `ip:port` for callers; entries only. */
   readonly callersListen?: string
-  /** `ip:port` at which the platform asks for readiness; entries only. */
+  /** `ip:port` for the platform's readiness probes; entries only. */
   readonly readyListen?: string
   /** `ip:port` of the model replica on this instance; sidecars only. */
   readonly replicaAddress?: string
-  /** First and last port for processes of the router. */
+  /** First and last port for connections between router processes. */
   readonly peerPorts: readonly [number, number]
   /** `ip:port` of the platform's key-value service. */
   readonly keyValueAddress: string
-  /** Seconds from the signal to stop until the process is killed. */
+  /** Seconds from the stop signal until the process is killed. */
   readonly stopGraceS: number
-  /** Milliseconds from the word that a replica leaves until it must get no new work; absent: {@link DRAIN_MS}. */
+  /** Milliseconds after a replica announces its shutdown until it must get no new work; default: {@link DRAIN_MS}. */
   readonly drainMs?: number
-  /** Milliseconds from an accepted configuration until it must be in force; absent: {@link CONFIG_APPLY_MS}. */
+  /** Milliseconds from the acceptance of a configuration until it must be applied; default: {@link CONFIG_APPLY_MS}. */
   readonly configApplyMs?: number
-  /** File with the confirmed intent for the pools; without it they stay as they are. */
+  /** File with the pool intent and its confirmation; if absent, the pools stay unchanged. */
   readonly poolsFile?: string
-  /** Mechanisms that are switched off or changed; those that are absent are as users run them. */
+  /** Overrides that disable or change individual mechanisms; missing ones keep their production defaults. */
   readonly decisions?: Partial<RouterDecisions>
-  /** What retries may cost all entries together; absent: {@link DEFAULT_BUDGET_LIMITS} for each. */
+  /** Retry budget shared by all entries; default: {@link DEFAULT_BUDGET_LIMITS} for each entry. */
   readonly retryBudget?: RetryBudgetSettings
-  /** When a request counts as the cause of crashes; absent: {@link DEFAULT_CRASH_LIMITS}. */
+  /** Thresholds for treating a request as the cause of crashes; default: {@link DEFAULT_CRASH_LIMITS}. */
   readonly crashes?: Partial<CrashLimits>
-  /** How long customers' keys are believed; absent: {@link DEFAULT_CREDENTIAL_LIMITS}. */
+  /** How long customers' keys are trusted without an update; default: {@link DEFAULT_CREDENTIAL_LIMITS}. */
   readonly credentials?: CredentialSettings
-  /** What customers may use beyond their allotments; absent: nothing. */
+  /** Usage that customers are granted beyond their allotments; default: none. */
   readonly allotments?: AllotmentBounds
   readonly log?: { readonly level: LogLevel }
 }
 
-/** Sends beyond the first of each request, over all entries. */
+/** Limits on the extra sends (sends after the first of each request) of all entries together. */
 export interface RetryBudgetSettings {
-  /** Extra sends for each request. */
+  /** Extra sends allowed per request. */
   readonly ratio: number
   readonly windowMs: number
-  /** Extra sends of a window that need no requests, shared by all entries. */
+  /** Extra sends allowed per window regardless of the number of requests, shared by all entries. */
   readonly slack?: number
-  /** Entries that share the slack; absent: their number is not known, and none uses it. */
+  /** Number of entries that share the slack; if absent, it is unknown and no entry uses the slack. */
   readonly entries?: number
 }
 
-/** Removal of customers' keys. */
+/** Settings for the revocation of customers' keys. */
 export interface CredentialSettings {
-  /** Time after which a key that was taken away must open nothing, at any entry. */
+  /** Milliseconds after which every entry must reject a revoked key. */
   readonly revokedWithinMs: number
-  /** Whether entries that can't learn of removals refuse requests with keys; absent: they do. */
+  /** Whether entries that can't receive revocations reject requests with keys; default: true. */
   readonly isStrict?: boolean
 }
 
-/** The users' smaller deployments ask for these, their larger ones for more. */
+/** Defaults as required by smaller deployments; larger ones set higher values. */
 export const DRAIN_MS = 2_000
 export const CONFIG_APPLY_MS = 2_000
 
-/** Shorter bounds would ask the key-value service several times a second. */
+/** Shorter bounds would poll the key-value service several times per second. */
 const SHORTEST_BOUND = { type: 'number', minimum: 500 } as const
 
 const ADDRESS = { type: 'string', format: 'ip-port' } as const
@@ -108,7 +108,7 @@
       additionalProperties: false,
       properties: {
         replicas: { type: 'integer', minimum: 2 },
-        // The key-value service grants leases of up to ten minutes.
+        // The key-value service grants leases of at most ten minutes.
         rememberedMs: { type: 'integer', minimum: 10_000, maximum: 600_000 }
       }
     },
@@ -116,7 +116,7 @@
       type: 'object',
       required: ['revokedWithinMs'],
       additionalProperties: false,
-      // A shorter time would be over between two answers of the key-value service.
+      // A shorter time would expire between two responses of the key-value service.
       properties: { revokedWithinMs: { type: 'number', minimum: 2_000 }, isStrict: { type: 'boolean' } }
     },
     allotments: {
@@ -130,20 +130,20 @@
 }
 
 /**
- * Switches of all mechanisms.
+ * Returns the switches of all mechanisms.
  *
- * @param settings - of the process
- * @returns the settings' switches over the defaults
+ * @param settings - settings of the process
+ * @returns the defaults, overridden by the settings
  */
 export function decisionsOf ({ decisions }: EdgeSettings): RouterDecisions {
   return { ...DEFAULT_DECISIONS, ...decisions }
 }
 
 /**
- * Limits of this entry's retries.
+ * Returns the retry budget of this entry.
  *
- * @param settings - of the process
- * @returns its share, so that all entries together stay within what the settings allow
+ * @param settings - settings of the process
+ * @returns this entry's share, so that all entries together stay within the configured budget
  */
 export function budgetLimitsOf ({ retryBudget }: EdgeSettings): BudgetLimits {
   if (retryBudget === undefined) return DEFAULT_BUDGET_LIMITS
@@ -152,61 +152,61 @@
 }
 
 /**
- * When a request counts as the cause of crashes.
+ * Returns the thresholds for treating a request as the cause of crashes.
  *
- * @param settings - of the process
- * @returns the settings' limits over the defaults
+ * @param settings - settings of the process
+ * @returns the defaults, overridden by the settings
  */
 export function crashLimitsOf ({ crashes }: EdgeSettings): CrashLimits {
   return { ...DEFAULT_CRASH_LIMITS, ...crashes }
 }
 
 /**
- * How long this entry believes what it knows of keys.
+ * Returns how long this entry trusts its data about customers' keys without an update.
  *
- * @param settings - of the process
- * @returns the settings' limits over the defaults
+ * @param settings - settings of the process
+ * @returns the defaults, overridden by the settings
  */
 export function credentialLimitsOf ({ configApplyMs = CONFIG_APPLY_MS, credentials }: EdgeSettings): CredentialLimits {
   return { ...DEFAULT_CREDENTIAL_LIMITS, ...credentials, appliedWithinMs: configApplyMs }
 }
 
 /**
- * What customers may use beyond their allotments.
+ * Returns the usage that customers are granted beyond their allotments.
  *
- * @param settings - of the process
- * @returns the settings' bounds, or those that allow nothing
+ * @param settings - settings of the process
+ * @returns the configured bounds, or bounds that grant nothing extra
  */
 export function allotmentBoundsOf ({ allotments = DEFAULT_ALLOTMENT_BOUNDS }: EdgeSettings): AllotmentBounds {
   return allotments
 }
 
 /**
- * Checks settings.
+ * Validates settings.
  *
  * @param value - parsed document
- * @param file - its name in findings
- * @returns the settings, or all findings with their places
+ * @param file - file name to show in findings
+ * @returns the settings, or all findings with their locations
  */
 export function checkEdgeSettings (value: unknown, file: string): Result<EdgeSettings, Finding[]> {
   return checkDocument<EdgeSettings>(EDGE_SETTINGS_SCHEMA, value, file)
 }
 
 /**
- * Reads and checks a settings file.
+ * Reads and validates a settings file.
  *
  * @param path - path of the file
- * @returns the settings, or all findings with their places
+ * @returns the settings, or all findings with their locations
  */
 export async function readEdgeSettings (path: string): Promise<Result<EdgeSettings, Finding[]>> {
   return await readDocument<EdgeSettings>(EDGE_SETTINGS_SCHEMA, path)
 }
 
 /**
- * Reads and checks the file with the intent for the pools.
+ * Reads and validates the file with the pool intent.
  *
  * @param path - path of the file
- * @returns intent and confirmation, or all findings with their places
+ * @returns the intent and its confirmation, or all findings with their locations
  */
 export async function readPoolDocument (path: string): Promise<Result<PoolDocument, Finding[]>> {
   return await readDocument<PoolDocument>(POOL_DOCUMENT_SCHEMA, path)
--- a/packages/bendfall-edge/src/BendfallEdgeSidecar.ts
+++ b/packages/bendfall-edge/src/BendfallEdgeSidecar.ts
@@ -1,5 +1,5 @@
 /**
- * Wires the sidecar: the ledger of the model replica on its instance.
+ * Wires the sidecar process, which runs the memory ledger of the model replica on its instance.
  *
  * @module
  */
@@ -12,7 +12,7 @@
 import { createMetrics } from './observe/BendfallEdgeMetrics.js'
 import type { Metrics } from './observe/BendfallEdgeMetrics.js'
 
-/** What a sidecar is made of. */
+/** Dependencies and settings of a sidecar. */
 export interface SidecarOptions {
   readonly settings: EdgeSettings
   readonly dialect: Dialect
@@ -21,7 +21,7 @@
   readonly clock?: Clock
 }
 
-/** A sidecar that runs. */
+/** A running sidecar. */
 export interface Sidecar {
   readonly stop: () => Promise<void>
 }
@@ -29,13 +29,13 @@
 /**
  * Starts a sidecar.
  *
- * @param options - settings and dialect
- * @returns the sidecar once it listens
- * @throws Error when settings lack an address or it can't be bound
+ * @param options - settings, platform adapter and logger
+ * @returns the sidecar, once it is listening
+ * @throws Error if `replicaAddress` is missing from the settings or the listen address can't be bound
  */
 export async function startSidecar (options: SidecarOptions): Promise<Sidecar> {
   const { clock = createSystemClock(), dialect, logger, metrics = createMetrics(), settings } = options
-  if (settings.replicaAddress === undefined) throw new Error('settings of a sidecar need replicaAddress')
+  if (settings.replicaAddress === undefined) throw new Error('sidecar settings require replicaAddress')
   const server = await startLedgerServer({
     listen: `${settings.ip}:${settings.peerPorts[0]}`,
     replicaAddress: settings.replicaAddress,
--- a/packages/bendfall-edge/src/caller/BendfallEdgeCallerTurns.ts
+++ b/packages/bendfall-edge/src/caller/BendfallEdgeCallerTurns.ts
@@ -1,7 +1,7 @@
 /**
- * Requests that share a caller's connection: one at a time, none behind an
- * answer that ends the connection. What follows a request can neither be
- * answered in its place nor end its answer.
+ * Serializes pipelined requests on a caller's connection: one is processed at a time, and none
+ * after a response that closes the connection. Data after a request, including invalid data,
+ * can neither be answered in its place nor terminate its response.
  *
  * @module
  */
@@ -9,19 +9,20 @@
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import type { Duplex } from 'node:stream'
 
-/** Requests of the callers' connections. */
+/** Pipelined requests of all caller connections. */
 export interface CallerTurns {
   /**
-   * Starts a request once the answers before it are out; never, if one of them ends the connection.
+   * Starts a request once all earlier responses on its connection have been sent; never, if one of them
+   * closes the connection.
    *
-   * @param request - the request
-   * @param response - its answer
-   * @param start - takes the request
+   * @param request - request from the HTTP server
+   * @param response - response object that belongs to the request
+   * @param start - called when it is the request's turn
    */
   readonly take: (request: IncomingMessage, response: ServerResponse, start: () => void) => void
-  /** @returns whether other requests wait for the end of this one's answer */
+  /** @returns whether other requests on the same connection wait for this response to end */
   readonly hasNext: (request: IncomingMessage) => boolean
-  /** @returns number of requests that wait on the connection of this one */
+  /** @returns number of requests that are queued on the connection of this one */
   readonly waiting: (request: IncomingMessage) => number
 }
 
@@ -34,17 +35,17 @@
 interface Connection {
   current?: Turn
   readonly waiting: Turn[]
-  /** Status of what could not be read behind the last request. */
+  /** Status of the response to data that could not be parsed or queued after the last request. */
   brokenStatus?: number
 }
 
-/** Requests that wait on one connection; those behind them are not run. */
+/** Maximum number of queued requests per connection; further ones are not processed. */
 const LONGEST_QUEUE = 100
 
 const NOT_RUN = 503
 const BAD_REQUEST = 400
 
-/** Statuses by the code of the parser's error, as the server itself chooses them. */
+/** Response statuses by parser error code, the same as Node's HTTP server uses. */
 const ERROR_STATUSES: Readonly<Record<string, number>> = {
   ERR_HTTP_REQUEST_TIMEOUT: 408,
   HPE_CHUNK_EXTENSIONS_OVERFLOW: 413,
@@ -52,23 +53,23 @@
 }
 
 /**
- * Registers the turns with a server.
+ * Installs the pipelining of requests on a server.
  *
- * @param server - server for callers
- * @returns the turns
+ * @param server - HTTP server for callers
+ * @returns queue through which the server's requests must pass
  */
 export function registerCallerTurns (server: Server): CallerTurns {
   const connections = new WeakMap<Duplex, Connection>()
 
   server.on('connection', (socket) => {
     connections.set(socket, { waiting: [] })
-    // Before the server's own listener, which would close the connection in order.
+    // Must run before the server's own listener, which would close the connection gracefully.
     socket.prependListener('end', () => {
       const response = connections.get(socket)?.current?.response
       if (response !== undefined && response.headersSent && !response.writableEnded) socket.resetAndDestroy()
     })
   })
-  // The server's own answer would be read as that to the request before.
+  // The caller would take the server's default response for the response to the previous request.
   server.on('clientError', (error: NodeJS.ErrnoException, socket) => {
     const connection = connections.get(socket)
     const status = ERROR_STATUSES[error.code ?? ''] ?? BAD_REQUEST
@@ -78,8 +79,8 @@
     if (socket.readableEnded) leave(socket, current)
   })
 
-  // The server closes nothing after an error, so that nobody would learn that the caller has
-  // left: a replica worked on for 1.9 s.
+  // After a parse error the server doesn't close the connection by itself, so the caller's
+  // disconnect would go unnoticed: a replica kept working on such a request for 1.9 s.
   function leave (socket: Duplex, { response }: Turn): void {
     if (response.writableEnded) socket.end()
     else socket.destroy()
--- a/packages/bendfall-edge/src/caller/BendfallEdgeExchange.ts
+++ b/packages/bendfall-edge/src/caller/BendfallEdgeExchange.ts
@@ -1,5 +1,6 @@
 /**
- * One request of a caller and the answer to it.
+ * A caller's request and the response to it. Passes on a replica's response with its framing and
+ * makes sure that an aborted response never looks complete to the caller.
  *
  * @module
  */
@@ -8,14 +9,14 @@
 import { toCallerHeaders } from './BendfallEdgeHeaders.js'
 import type { CallerRequest } from '../BendfallEdgeDialect.js'
 
-/** A replica's answer that is held whole. */
+/** A replica's complete response, buffered in memory. */
 export interface HeldAnswer {
   readonly status: number
   readonly headers: IncomingHttpHeaders
   readonly body: Buffer
 }
 
-/** Reads the headers of a caller's request after which nothing else is known of it. */
+/** Decoded request of a caller with the server objects that it arrived with. */
 export interface ExchangeInit {
   readonly key: string
   readonly request: IncomingMessage
@@ -24,23 +25,23 @@
   readonly body: Buffer
 }
 
-/** One request and its answer. */
+/** A caller's request and the response to it. */
 export interface Exchange extends ExchangeInit {
-  /** Sends a whole answer. */
+  /** Sends a complete response. */
   readonly deliver: (answer: HeldAnswer) => void
-  /** Sends the head of an answer whose body follows. */
+  /** Sends the status and headers of a response whose body follows. */
   readonly start: (status: number, headers: IncomingHttpHeaders) => void
-  /** @returns false when the caller reads slower than the replica writes */
+  /** @returns false if the caller reads more slowly than the replica writes; `onDrain` follows */
   readonly write: (chunk: Buffer, onDrain: () => void) => boolean
-  /** @returns whether the caller learns the end of the answer that has begun from its connection only */
+  /** @returns whether the started response is close-delimited for the caller (RFC 9112, section 6.3) */
   readonly endsWithConnection: () => boolean
-  /** Ends an answer that has begun; one that has not is cut. */
+  /** Ends a started response; aborts one that has not been started. */
   readonly end: () => void
-  /** Answers in the router's own name; an answer that has begun is cut. */
+  /** Sends an error response of the router; aborts a response that has already been started. */
   readonly refuse: (status: number, reason: string, retryAfterMs?: number) => void
-  /** Ends the connection, so that the answer does not look complete. Nothing more is sent. */
+  /** Aborts the connection, so that the response doesn't look complete. Nothing more is sent. */
   readonly cut: () => void
-  /** Does so before it returns; for the end of the process. */
+  /** Like `cut`, but synchronously; used when the process exits. */
   readonly cutNow: () => void
 }
 
@@ -48,14 +49,17 @@
 
 const OK_STATUS = 200
 
-/** From the last bytes of an answer to its reset: 0 of 500 callers found them together after 10 ms, 5 after 2 ms. */
+/**
+ * Delay between the last bytes of a response and the reset of its connection. With 10 ms, 0 of
+ * 500 callers received both together; with 2 ms, 5 did.
+ */
 export const RESET_PAUSE_MS = 10
 
 /**
- * Wraps a request.
+ * Creates the exchange of a request.
  *
- * @param init - the request
- * @param isStopping - whether connections are closed after their answer
+ * @param init - decoded request and server objects
+ * @param isStopping - whether the connection is to be closed after the response
  * @returns the exchange
  */
 export function createExchange (init: ExchangeInit, isStopping: () => boolean): Exchange {
@@ -71,20 +75,20 @@
     if (isStopping()) response.setHeader('connection', 'close')
     response.writeHead(status, toCallerHeaders(headers))
     const hasLength = !isUnframed && (bodyBytes !== undefined || headers['content-length'] !== undefined)
-    // As the caller gets it: one of HTTP/1.0 gets an answer in chunks without them.
+    // Refers to the framing towards the caller: HTTP/1.0 callers get a chunked response unchunked.
     endsWithConnection = !hasLength && !response.chunkedEncoding
   }
 
   function cut (): void {
     isCut = true
     if (!endsWithConnection) response.destroy()
-    // Of callers that found the last bytes and the reset together 61 of 500 took that for an end in order.
+    // 61 of 500 callers that received the last bytes and the reset together treated it as a graceful close.
     else setTimeout(cutNow, RESET_PAUSE_MS)
   }
 
   function cutNow (): void {
     isCut = true
-    // Closed in order, an answer whose end only its connection tells would look complete.
+    // A close-delimited response would look complete if its connection were closed gracefully.
     if (endsWithConnection) response.socket?.resetAndDestroy()
     response.destroy()
   }
@@ -119,27 +123,27 @@
   }
 }
 
-// Read as of an answer with a body: one without needs no length either.
+// Evaluates the headers as those of a response with a body; one without a body needs no length either.
 function isWithoutLength (headers: IncomingHttpHeaders): boolean {
   return framingOf('GET', OK_STATUS, headers) === 'connection'
 }
 
-// An answer whose end only its connection tells is passed on the same way: a
-// length of ours would vouch for a body that may have been broken off.
+// A close-delimited response is passed on as such: a length or chunked coding added by the
+// router would present a body as complete that may have been truncated.
 function leaveWithoutLength (response: ServerResponse): void {
   response.shouldKeepAlive = false
   response.useChunkedEncodingByDefault = false
 }
 
 /**
- * Answers a request in the router's own name.
+ * Sends an error response of the router; destroys a response that has already been started.
  *
- * @param response - answer that has not begun
+ * @param response - response that has not been started
  * @param status - HTTP status
- * @param reason - why, for people
- * @param isClosing - whether the connection is closed afterwards
- * @param requestId - the caller's id, if it sent one
- * @param retryAfterMs - when the caller should come back
+ * @param reason - human-readable error for the response body
+ * @param isClosing - whether to close the connection after the response
+ * @param requestId - request id of the caller to echo, if it sent one
+ * @param retryAfterMs - delay after which the caller should retry; omitted: no `Retry-After` header
  */
 export function refuse (response: ServerResponse, status: number, reason: string, isClosing: boolean, requestId?: string, retryAfterMs?: number): void {
   if (response.headersSent || response.destroyed) {
--- a/packages/bendfall-edge/src/caller/BendfallEdgeFingerprint.ts
+++ b/packages/bendfall-edge/src/caller/BendfallEdgeFingerprint.ts
@@ -1,30 +1,30 @@
 /**
- * Fingerprint of a request: equal for two that ask for the same, whichever entries take
- * them in and whatever ids they have.
+ * Computes fingerprints of requests. Requests with the same content have the same fingerprint,
+ * regardless of the entry that receives them and of their request ids.
  *
  * @module
  */
 import { createHash } from 'node:crypto'
 import type { IncomingHttpHeaders } from 'node:http'
 
-/** What a request asks for, and for whom. */
+/** Parts of a request that identify its content and its caller. */
 export interface FingerprintInput {
   readonly method: string
-  /** With its query. */
+  /** Path including the query. */
   readonly path: string
   readonly headers: IncomingHttpHeaders
   readonly body: Buffer
 }
 
-/** 64 bits: two of a million requests share one by a chance of one in 37 million. */
+/** 64 bits: among a million requests the probability of a collision is 1 in 37 million. */
 const DIGITS = 16
 
 /**
- * Makes the fingerprint. The host names the customer; who calls is told by credentials,
- * where there are any, not by the address, which may be that of a gateway.
+ * Computes the fingerprint of a request. The host identifies the customer. The caller is
+ * identified by its credentials, if any, and not by its address, which may be that of a gateway.
  *
- * @param input - the request
- * @returns hexadecimal digits
+ * @param input - parts of the request to hash
+ * @returns the fingerprint as hexadecimal digits
  */
 export function fingerprintOf ({ body, headers, method, path }: FingerprintInput): string {
   const head = JSON.stringify([method, headers.host ?? '', path, headers.authorization ?? ''])
--- a/packages/bendfall-edge/src/caller/BendfallEdgeHeaders.ts
+++ b/packages/bendfall-edge/src/caller/BendfallEdgeHeaders.ts
@@ -1,30 +1,31 @@
 /**
- * Headers that concern one connection only and are never passed on.
+ * Removes hop-by-hop headers, which apply to a single connection and must not be forwarded.
  *
  * @module
  */
 import type { IncomingHttpHeaders, OutgoingHttpHeaders } from 'node:http'
 
-/** RFC 9110, section 7.6.1, and the framing that each connection sets itself. */
+/** Headers of RFC 9110, section 7.6.1, and framing headers, which are set for each connection. */
 const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
   'connection', 'expect', 'keep-alive', 'proxy-authenticate', 'proxy-authorization', 'proxy-connection',
   'te', 'trailer', 'transfer-encoding', 'upgrade'
 ])
 
-/** Headers of a request that don't go by the general rule, in lower case. */
+/** Lowercase names of request headers that are exceptions to the general rule. */
 export interface HeaderExceptions {
+  /** Removed in addition to hop-by-hop headers. */
   readonly dropped: ReadonlySet<string>
-  /** Kept although the `Connection` header names them. */
+  /** Kept even if the `Connection` header lists them. */
   readonly endToEnd: ReadonlySet<string>
 }
 
 /**
- * Leaves out headers that concern the caller's connection, those that the
- * `Connection` header names, and those that are to be dropped.
+ * Removes the hop-by-hop headers of the caller's connection, the headers listed in the
+ * `Connection` header, and the headers to be dropped.
  *
- * @param raw - names and values by turns
- * @param exceptions - further names to leave out, and names to keep
- * @returns names and values by turns
+ * @param raw - alternating names and values
+ * @param exceptions - further headers to remove, and headers to keep
+ * @returns alternating names and values of the remaining headers
  */
 export function dropConnectionHeaders (raw: readonly string[], { dropped, endToEnd }: HeaderExceptions): string[] {
   const named = namedByConnection(raw)
@@ -39,10 +40,10 @@
 }
 
 /**
- * Headers of a replica's answer that go to the caller.
+ * Returns the headers of a replica's response that are forwarded to the caller.
  *
- * @param headers - headers of the answer
- * @returns the headers without those of the replica's connection
+ * @param headers - headers of the replica's response
+ * @returns the headers without hop-by-hop headers
  */
 export function toCallerHeaders (headers: IncomingHttpHeaders): OutgoingHttpHeaders {
   const kept: OutgoingHttpHeaders = {}
--- a/packages/bendfall-edge/src/caller/BendfallEdgeKeyDigest.ts
+++ b/packages/bendfall-edge/src/caller/BendfallEdgeKeyDigest.ts
@@ -1,7 +1,7 @@
 /**
- * Digests of customers' keys. Beyond the adapter a key is known by its digest alone, so that
- * none can come into a log line, a metric or a document; and a comparison of digests tells
- * by its time nothing of a key.
+ * Computes digests of customers' API keys. Outside the platform adapter a key is represented only
+ * by its digest, so that keys can't leak into log lines, metrics or documents, and the duration of
+ * a digest comparison reveals nothing about a key.
  *
  * @module
  */
@@ -9,14 +9,14 @@
 
 const SALT_BYTES = 16
 
-/** Of this process: its digests are worth nothing elsewhere. */
+/** Random per process, so that its digests are useless elsewhere. */
 const SALT = randomBytes(SALT_BYTES)
 
 /**
- * Makes the digest of a key.
+ * Computes the digest of a key.
  *
- * @param key - as the caller or the configuration has it
- * @returns the digest, the same for equal keys within this process
+ * @param key - plain key as given by the caller or the configuration
+ * @returns the digest, which is equal for equal keys within this process
  */
 export function digestKey (key: string): string {
   return createHash('sha256').update(SALT).update(key).digest('base64')
--- a/packages/bendfall-edge/src/caller/BendfallEdgeOpenExchanges.ts
+++ b/packages/bendfall-edge/src/caller/BendfallEdgeOpenExchanges.ts
@@ -1,38 +1,39 @@
 /**
- * Exchanges whose answer is not yet with the kernel: those under way, and those
- * whose answer is whole while its caller reads slowly.
+ * Tracks exchanges whose response has not been fully handed to the kernel: those in progress, and
+ * those whose response is complete but whose caller reads slowly.
  *
  * @module
  */
 import type { Exchange } from './BendfallEdgeExchange.js'
 
-/** Exchanges that are open. */
+/** Collection of open exchanges. */
 export interface OpenExchanges {
   /**
-   * Adds an exchange until its answer is out or its connection is gone.
+   * Adds an exchange, which is removed once its response has been sent or its connection is closed.
    *
-   * @param exchange - the exchange
-   * @param onLeft - called when the connection is gone before the answer was out, unless by a cut of all
+   * @param exchange - exchange to track
+   * @param onDisconnected - called if the connection closes before the response has been sent, unless
+   * `cut` or `cutNow` closed it
    */
   readonly add: (exchange: Exchange, onLeft: () => void) => void
   /** @returns number of open exchanges */
   readonly size: () => number
   /**
-   * Begins to cut all exchanges: the resets follow within `RESET_PAUSE_MS`.
+   * Starts to abort all open exchanges; the resets follow within `RESET_DELAY_MS`.
    *
-   * @returns what is cut
+   * @returns the exchanges that are being aborted
    */
   readonly cut: () => readonly Exchange[]
   /**
-   * Cuts all exchanges. The resets have been sent when this returns.
+   * Aborts all exchanges. The resets have been sent when this returns.
    *
-   * @returns what was cut beyond what `cut` returned
+   * @returns the aborted exchanges, without those that `cut` has already returned
    */
   readonly cutNow: () => readonly Exchange[]
 }
 
 /**
- * Makes an empty collection.
+ * Creates an empty collection.
  *
  * @returns the collection
  */
--- a/packages/bendfall-edge/src/caller/BendfallEdgeServer.ts
+++ b/packages/bendfall-edge/src/caller/BendfallEdgeServer.ts
@@ -1,6 +1,6 @@
 /**
- * The HTTP server for callers: reads whole requests within the limits in force
- * and hands them to the update path.
+ * HTTP server for callers: reads complete requests, enforces the configured limits and passes the
+ * requests on for routing.
  *
  * @module
  */
@@ -11,50 +11,50 @@
 import { registerCallerTurns } from './BendfallEdgeCallerTurns.js'
 import { refuse } from './BendfallEdgeExchange.js'
 
-/** A whole request of a caller. */
+/** A caller's request whose body has been read completely. */
 export interface WholeRequest {
   readonly request: IncomingMessage
   readonly response: ServerResponse
   readonly caller: CallerRequest
   readonly body: Buffer
-  /** @returns whether other requests wait for the end of this one's answer */
+  /** @returns whether other requests on the same connection wait for this response to end */
   readonly hasNext: () => boolean
 }
 
-/** What the server needs. */
+/** Dependencies of the server. */
 export interface CallerServerOptions {
   readonly dialect: CallerDialect
-  /** Limits in force. */
+  /** Returns the limits that currently apply. */
   readonly limits: () => CallerLimits
   readonly isStopping: () => boolean
   readonly onRequest: (request: WholeRequest) => void
-  /** Told of requests that were not taken. */
+  /** Called for requests that were rejected. */
   readonly onRejected: (status: number, message: string, requestId: string | undefined) => void
 }
 
-/** Limits before a configuration is known. */
+/** Limits that apply until a configuration is known. */
 export const FIRST_LIMITS: CallerLimits = { headerBytes: 16_384, bodyBytes: 4_194_304, headerTimeoutMs: 3_000, idleTimeoutMs: 15_000 }
 
-/** Connections are kept this much longer than callers use them, so that none is closed under a request. */
+/** Added to the callers' idle timeout, so that no connection is closed while a request is being sent. */
 const IDLE_MARGIN_MS = 1_000
 
-/** Heads of up to this size are parsed; the limit in force is checked after. */
+/** Maximum request head that the parser accepts; the configured limit is checked afterwards. */
 const PARSED_HEAD_BYTES = 65_536
 
-/** Time for the body beyond that for the head: bodies of some MB take this long over slow links. */
+/** Time for the body in addition to that for the head; bodies of several MB take this long over slow links. */
 const BODY_TIMEOUT_MS = 30_000
 
 /** The server for callers. */
 export interface CallerServer {
   readonly server: Server
-  /** Takes the limits of a new configuration. */
+  /** Applies the limits of a new configuration. */
   readonly applyLimits: () => void
 }
 
 /**
- * Makes the server; it does not listen yet.
+ * Creates the server without listening.
  *
- * @param options - dialect, limits and hooks
+ * @param options - request decoder, limits and callbacks
  * @returns the server
  */
 export function createCallerServer (options: CallerServerOptions): CallerServer {
@@ -64,8 +64,8 @@
     const arrivedMs = performance.now()
     request.on('error', ignoreError)
     response.on('error', ignoreError)
-    // Unread, the body of a request that waits keeps the end of its connection from being
-    // seen, and a replica works on for a caller that has left; one body is read ahead at most.
+    // While the body of a queued request is unread, the end of its connection goes unnoticed and
+    // a replica keeps working for a caller that has disconnected. At most one body is read ahead.
     const readAhead = turns.waiting(request) === 0 ? readBody(request, options.limits().bodyBytes) : undefined
     const hasNext = (): boolean => turns.hasNext(request)
     turns.take(request, response, () => take(options, { request, response, hasNext, waitedMs: performance.now() - arrivedMs, readAhead }))
@@ -82,10 +82,10 @@
   return { server, applyLimits }
 }
 
-/** A request whose turn it is. */
+/** A request that has reached the head of its connection's queue. */
 interface StartedRequest extends Pick<WholeRequest, 'request' | 'response' | 'hasNext'> {
   readonly waitedMs: number
-  /** Its body, where that was read while the request waited. */
+  /** Reader of the body, if reading began while the request was queued. */
   readonly readAhead?: BodyReader
 }
 
@@ -107,14 +107,14 @@
   })
 }
 
-// The caller counts from when it sent the request, not from when its turn came.
+// The caller's deadline starts when it sends the request, not when the request leaves the queue.
 function withoutWait (caller: CallerRequest, waitedMs: number): CallerRequest {
   return caller.deadlineMs === undefined ? caller : { ...caller, deadlineMs: caller.deadlineMs - waitedMs }
 }
 
-/** Reads a body from when it is made. */
+/** Reads a request body, starting at its creation. */
 interface BodyReader {
-  /** @param listener - takes the body once it is whole; undefined where it is too large */
+  /** @param listener - receives the complete body, or undefined if it is too large */
   readonly onWhole: (listener: (body: Buffer | undefined) => void) => void
 }
 
@@ -129,7 +129,7 @@
     bytes += chunk.length
     if (bytes <= maxBytes) chunks.push(chunk)
   })
-  // A request that breaks off never ends; its connection is gone then.
+  // An interrupted request never emits `end`; its connection is closed in that case.
   request.once('end', () => {
     isWhole = true
     tell()
@@ -147,5 +147,5 @@
   return request.rawHeaders.reduce((sum, part) => sum + part.length, line)
 }
 
-// A broken connection also closes request and response, which ends the exchange.
+// An error of the connection also closes request and response, which ends the exchange.
 function ignoreError (): void {}
--- a/packages/bendfall-edge/src/crashes/BendfallEdgeCrashDocument.ts
+++ b/packages/bendfall-edge/src/crashes/BendfallEdgeCrashDocument.ts
@@ -1,5 +1,5 @@
 /**
- * What entries tell each other of crashes, as it stands in the key-value service.
+ * Format of the crash reports that entries exchange through the key-value service.
  *
  * @module
  */
@@ -7,10 +7,10 @@
 import type { CrashReport } from 'bendfall-router'
 import type { Result } from 'ts-results-es'
 
-/** Begins the keys of all reports; the name of the entry follows. */
+/** Key prefix of all reports, followed by the name of the reporting entry. */
 export const CRASH_PREFIX = 'bendfall/crashes/'
 
-/** Key under which operators have all crashes forgotten; its value differs each time. */
+/** Key that operators write to clear all crash records; each request uses a different value. */
 export const CRASHES_CLEARED_KEY = 'bendfall/crashes-cleared'
 
 const AGE_MS = { type: 'number', minimum: 0 } as const
@@ -38,8 +38,8 @@
 /**
  * Encodes a report.
  *
- * @param report - of an entry
- * @returns JSON
+ * @param report - crash report of an entry
+ * @returns JSON text
  */
 export function encodeCrashReport (report: CrashReport): string {
   return JSON.stringify(report)
@@ -48,9 +48,9 @@
 /**
  * Decodes a report.
  *
- * @param text - JSON
- * @param key - its place, for messages
- * @returns the report, or what is wrong with it
+ * @param text - JSON text
+ * @param key - key of the report, used in error messages
+ * @returns the report, or a description of the errors in it
  */
 export function decodeCrashReport (text: string, key: string): Result<CrashReport, string> {
   const checked = parseDocument(text, key).andThen((document) => checkDocument<CrashReport>(REPORT_SCHEMA, document, key))
--- a/packages/bendfall-edge/src/crashes/BendfallEdgeCrashReports.ts
+++ b/packages/bendfall-edge/src/crashes/BendfallEdgeCrashReports.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps what this entry has seen of crashes in the key-value service, under a lease that
- * ends with the time for which a crash counts: a report outlives its entry.
+ * Publishes the crashes observed by this entry in the key-value service. The lease of a report
+ * lasts as long as a crash counts, so that the report survives the entry.
  *
  * @module
  */
@@ -10,27 +10,27 @@
 import type { CrashReport, RouterEffect, RouterEvent } from 'bendfall-router'
 import { CRASH_PREFIX, encodeCrashReport } from './BendfallEdgeCrashDocument.js'
 
-/** What the reports need. */
+/** Dependencies of the reports. */
 export interface CrashReportOptions {
   readonly loop: UpdateLoop<RouterEvent, RouterEffect>
   readonly port: KeyValuePort
   readonly logger: Logger
   readonly instanceId: string
-  /** Time for which a crash counts; the longest lease of the service is ten minutes. */
+  /** Time for which a crash counts; the service grants leases of at most ten minutes. */
   readonly rememberedMs: number
 }
 
-/** Crashes within this are told at once: one that ends many requests is heard of many times. */
+/** Crashes within this time are published together, since one crash that ends many requests is detected many times. */
 const GATHER_MS = 50
 
-/** Pauses after failed writes; half of them by chance, since many entries see one crash. */
+/** Bounds of the backoff after failed writes. It is randomized by ±50 %, since many entries observe the same crash. */
 const FIRST_PAUSE_MS = 100
 const LONGEST_PAUSE_MS = 2_000
 
 /**
  * Registers the effect `publish_crashes`.
  *
- * @param options - update path and service
+ * @param options - event loop, key-value service and identity of the entry
  * @returns teardown
  */
 export function registerCrashReports ({ instanceId, logger, loop, port, rememberedMs }: CrashReportOptions): Teardown {
@@ -46,7 +46,7 @@
     revision ??= await readRevision()
     if (revision === undefined) return false
     const written = await port.compareAndSwap({ key, expectedRevision: revision, value: encodeCrashReport(report), leaseId: lease.leaseId })
-    // Whether it was done, and which revision stands there, is read before the next try.
+    // After a failure the next attempt first reads whether the write took effect, and its revision.
     revision = written.type === 'applied' ? written.revision : undefined
     return written.type === 'applied'
   }
@@ -78,7 +78,7 @@
 
   return combineTeardowns([
     () => ended.abort(),
-    // The copy may lack the report, or have an older one.
+    // The restored backup may lack the report or contain an older one.
     port.onEra?.(() => {
       revision = undefined
       loop.dispatch({ type: 'crashes_untold' })
--- a/packages/bendfall-edge/src/directory/BendfallEdgeDirectory.ts
+++ b/packages/bendfall-edge/src/directory/BendfallEdgeDirectory.ts
@@ -1,5 +1,6 @@
 /**
- * Learns configuration and replicas from the key-value service.
+ * Follows the configuration, the replica registrations and the router's own documents in the
+ * key-value service and dispatches their changes as events.
  *
  * @module
  */
@@ -12,48 +13,51 @@
 import { CRASH_PREFIX, CRASHES_CLEARED_KEY, decodeCrashReport } from '../crashes/BendfallEdgeCrashDocument.js'
 import { followPrefix } from './BendfallEdgeFollow.js'
 
-/** Entries that can't be read of which one line each is logged; the counter goes on. */
+/** Maximum number of unreadable entries that are logged, one line each; the metric counts all. */
 const MOST_UNREADABLE_NOTED = 200
 
-/** What the directory needs. */
+/** Dependencies and time limits of the directory. */
 export interface DirectoryOptions {
   readonly loop: UpdateLoop<RouterEvent, RouterEffect>
   readonly port: KeyValuePort
   readonly dialect: DirectoryDialect
   readonly logger: Logger
-  /** Called when the registrations were read, whether there are any or not. */
+  /** Called after the registrations have been read, even if there are none. */
   readonly onReplicas: () => void
-  /** Called after a configuration was taken. */
+  /** Called after a configuration has been processed. */
   readonly onConfig: () => void
-  /** Called after a change of the replicas. */
+  /** Called after the set of replicas has changed. */
   readonly onChange: () => void
-  /** Called with what the router's own entries tell each other, as far as it changed, and with all keys that are gone. */
+  /** Called with changed documents that router processes exchange, and with all deleted keys. */
   readonly onOwnDocuments: (present: readonly KeyValueEntry[], goneKeys: readonly string[]) => void
   readonly metrics: Metrics
-  /** Time after which a replica that leaves must get no new work. */
+  /** Time after which a replica that is shutting down must get no new work. */
   readonly drainMs: number
-  /** Time after which a configuration must be in force. */
+  /** Time after which a new configuration must be applied. */
   readonly configApplyMs: number
-  /** Time after which a key that was taken away must open nothing. */
+  /** Time after which a revoked customer key must be rejected. */
   readonly revokedWithinMs: number
 }
 
-/** Begins the keys that entries write. */
+/** Key prefix of the documents that entries write. */
 const OWN_PREFIX = 'bendfall/'
 
-/** Longest wait of requests for registrations that are read again; the service answers in 4 ms. */
+/** Maximum time that requests wait for registrations to be re-read; the service responds in 4 ms. */
 const REFRESH_WAIT_MS = 400
 
-/** Of the time until a removed key binds: an answer is as old as its question, so that keys are still believed when the next one comes. */
+/**
+ * Share of `revokedWithinMs` within which changes must be known. A response proves the state only
+ * as of the time of its request, and keys must still be trusted when the next response arrives.
+ */
 const KEYS_SHARE = 0.6
 
-/** Of the time after which a change must be known: longer without an answer is worth a line. */
+/** Share of the time limit for changes; longer periods without a response are logged. */
 const STALE_SHARE = 0.7
 
 /**
- * Starts to learn.
+ * Starts to follow the directory and registers the effect `refresh_replicas`.
  *
- * @param options - update path, service and dialect
+ * @param options - event loop, key-value service, decoder, callbacks and time limits
  * @returns teardown
  */
 export function registerDirectory (options: DirectoryOptions): Teardown {
@@ -81,7 +85,7 @@
     onConfig()
   }
 
-  // An entry that can't be read names no replica: one known before under its id has left.
+  // An unreadable entry describes no replica; one previously known under its id counts as removed.
   function takeReplicas (entries: readonly KeyValueEntry[]): void {
     const present: Replica[] = []
     const gone: string[] = []
@@ -95,7 +99,7 @@
     onChange()
   }
 
-  // Written again and again, the same entry gives one line.
+  // An unreadable entry that is rewritten repeatedly with the same error is logged once.
   function noteReadable ({ key, revision }: KeyValueEntry, detail: string | undefined): void {
     if (detail === undefined) {
       unreadable.delete(key)
@@ -107,8 +111,8 @@
     logger.warn('replica_unreadable', { key, revision, detail })
   }
 
-  // Reports from before an operator had all forgotten don't count; an older copy of the
-  // service may show that wish once more.
+  // Reports written before an operator cleared all crashes are ignored. After a restore from an
+  // older backup the service may return an earlier clear request again.
   const cleared = new Set<string>()
   let clearedRevision = -Infinity
 
@@ -136,8 +140,8 @@
   const replicaIdsOf = (keys: readonly string[]): string[] =>
     keys.filter((key) => key.startsWith(dialect.replicaPrefix)).map(dialect.readReplicaId)
 
-  // One watch for both: with a watch each, two of three calls of an idle entry were for
-  // configurations, which change some times a minute.
+  // A single watch for configurations and replicas: with separate ones, two thirds of the calls of
+  // an idle entry were for configurations, which change only a few times per minute.
   const follower = followPrefix({
     port,
     clock: loop.clock,
@@ -150,10 +154,10 @@
         takeCrashes(entries)
         if (configs.length > 0) takeConfig(configs)
         if (registrations.length > 0) takeReplicas(registrations)
-        // After the replicas that they speak of.
+        // After the replicas, since the documents refer to them.
         onOwnDocuments(entries.filter(({ key }) => key.startsWith(OWN_PREFIX)), [])
       },
-      // The last configuration stays in force.
+      // If the configuration is deleted, the last one remains in effect.
       onGone: (keys) => {
         for (const key of keys) unreadable.delete(key)
         onOwnDocuments([], keys)
@@ -169,7 +173,7 @@
       },
       onCurrent: (staleMs, provenAtMs) => {
         noteStaleness(staleMs)
-        // One that can't be read may have taken keys away.
+        // An unreadable configuration may have revoked keys.
         if (provenAtMs !== undefined && isConfigReadable) loop.dispatch({ type: 'config_proven', provenAtMs })
         loop.dispatch({ type: 'replicas_current' })
         onReplicas()
@@ -178,7 +182,7 @@
     }
   })
 
-  // Without an answer in time the requests go on with what was known: the service is away.
+  // If the service doesn't respond in time, it is unavailable and requests proceed with the known replicas.
   async function refresh (): Promise<void> {
     const waited = new AbortController()
     await Promise.race([follower.refresh(), pause(loop.clock, REFRESH_WAIT_MS, waited.signal)])
--- a/packages/bendfall-edge/src/directory/BendfallEdgeFollow.ts
+++ b/packages/bendfall-edge/src/directory/BendfallEdgeFollow.ts
@@ -1,7 +1,7 @@
 /**
- * Follows the keys under a prefix of the key-value service: a full read, then
- * watches; a full read again after an outage, when history is lost, and now
- * and then as an insurance against watches that miss a change.
+ * Follows the keys under a prefix of the key-value service with a full read and subsequent watches.
+ * The full read is repeated after an outage, when the watch history is lost, and periodically as a
+ * safeguard against watches that miss a change.
  *
  * @module
  */
@@ -10,86 +10,92 @@
 import type { KeyValueEntry, KeyValuePort } from 'bendfall-platform'
 
 /**
- * Shares of the time after which a change must be known that one watch waits, and that
- * its answer may be late. A connection that went silent is noticed after both, and a
- * read on a new one takes some milliseconds more. With a watch of 2 s and a slack of
- * 1.2 s, 1,200 calls of a caller reached a replica that had drained for more than 2 s.
+ * Shares of `boundMs` for the wait of a watch and for the delay of its response beyond that.
+ * A silent connection is detected after both, and a read on a new connection takes some
+ * milliseconds more. With a wait of 2 s and a slack of 1.2 s, 1,200 calls of a caller reached a
+ * replica that had been draining for more than 2 s.
  */
 const WATCH_WAIT_SHARE = 0.5
 const WATCH_SLACK_SHARE = 0.3
 
 /**
- * Share of that time from one watch to the next when the first one told a change, so that
- * changes that come one after the other are told together: in a fleet of 84 replicas some
- * registration changed three times a second, and each of 68 entries asked as often. What
- * changes meanwhile is known within this share of the bound.
+ * Share of `boundMs` between two watches if the first one returned a change, so that successive
+ * changes are batched: in a fleet of 84 replicas some registration changed three times per second,
+ * and each of 68 entries sent as many watches. Changes in between are known within this share.
  */
 const BATCH_SHARE = 0.35
 
-/** Changes that are told at once before they are told together: one that comes alone waits for nothing. */
+/** Number of changes that are delivered immediately before batching starts; an isolated change isn't delayed. */
 const AT_ONCE = 3
 
-/** Shortest wait of a watch: less would be a read. */
+/** Minimum wait of a watch; a shorter one would amount to a read. */
 const SHORTEST_WAIT_MS = 50
 
-/** A watch that answers this much later than asked was held up. */
+/** A watch whose response is later than requested by this much is treated like an outage. */
 const LATE_WATCH_MS = 500
 
 /**
- * Between two full reads without a cause. Revisions already tell that nothing was missed;
- * of a fleet of 68 entries that read all every 8 s, these were 17 calls a second.
+ * Interval of the periodic full reads. Revisions already show that no change was missed; in a
+ * fleet of 68 entries, full reads every 8 s amounted to 17 calls per second.
  */
 const REREAD_MS = 30_000
 
-/** Pauses after failed calls. */
+/** Bounds of the backoff after failed calls. */
 const FIRST_PAUSE_MS = 50
 const LONGEST_PAUSE_MS = 500
 
-/** Entries that lapsed in an outage are back this long after its end if their owners live: two seconds by the platform's word, and a heartbeat's slack. */
+/**
+ * Time after an outage within which expired entries are written again if their owners are alive:
+ * two seconds as specified by the platform, plus slack for a heartbeat.
+ */
 const RETURN_MS = 2_400
 
-/** Entries of an older copy lapse within this unless their owners write them again: three heartbeats, and a heartbeat's slack. */
+/**
+ * Time within which entries of a restored backup expire unless their owners write them again:
+ * three heartbeats, plus slack for a heartbeat.
+ */
 const COPY_LASTS_MS = 4_000
 
-/** When something was asked, by both clocks. */
+/** Time of a request on the monotonic and the wall clock. */
 interface AskTime {
   readonly atMs: number
   readonly wallMs: number
 }
 
-/** Takes what is read. */
+/** Receives the changes under a prefix. */
 export interface FollowListener {
   readonly onPresent: (entries: readonly KeyValueEntry[]) => void
   readonly onGone: (keys: readonly string[]) => void
   /**
-   * Keys that are missing shortly after an outage, which may have lapsed in it or have
-   * been removed, or that an older copy lists and their owners have not written since.
-   * Each is told present or gone within the time in which lapsed ones return, or lapse.
+   * Called with keys that are missing shortly after an outage, which may have expired or have been
+   * deleted, and with keys from a restored backup that their owners haven't written since. For each
+   * of them `onUpserted` or `onDeleted` follows within the time in which expired entries are
+   * written again, or entries of the backup expire.
    */
   readonly onMissing: (keys: readonly string[], returnedMs: number) => void
   /**
-   * All changes up to now were told; `staleMs` is the time since they last were. `provenAtMs`
-   * is the time of the question whose answer told it, later than which nothing is known;
-   * absent while a copy may lack what was written last.
+   * Called when all changes so far have been delivered; `staleMs` is the time since the previous
+   * call. `provenAtMs` is the time of the request whose response proved this; nothing is known
+   * about later changes. It is undefined while a restored backup may lack the latest writes.
    */
   readonly onCurrent: (staleMs: number, provenAtMs: number | undefined) => void
-  /** The service was lost or is back. */
+  /** Called when the service becomes unreachable or reachable again. */
   readonly onReachable: (isReachable: boolean, detail: string) => void
 }
 
-/** What to follow. */
+/** Prefix to follow, with its dependencies and time limit. */
 export interface FollowOptions {
   readonly port: KeyValuePort
   readonly clock: Clock
   readonly prefix: string
-  /** Time after which a change must be known, whatever becomes of connections. */
+  /** Time after which a change must be known, even if connections fail. */
   readonly boundMs: number
   readonly listener: FollowListener
 }
 
-/** A prefix that is followed. */
+/** A running follower of a prefix. */
 export interface Follower {
-  /** Reads all keys now, beside the watches; tells the listener what it read. */
+  /** Reads all keys immediately, independently of the watches, and notifies the listener. */
   readonly refresh: () => Promise<void>
   readonly close: Teardown
 }
@@ -97,7 +103,7 @@
 /**
  * Starts to follow a prefix.
  *
- * @param options - service, prefix and listener
+ * @param options - key-value service, prefix and listener
  * @returns the follower
  */
 export function followPrefix (options: FollowOptions): Follower {
@@ -111,10 +117,10 @@
   let isReachable = true
   let returnedAtMs = -Infinity
   let fullReadAtMs = -Infinity
-  // Entries of up to this revision are those of a copy, which their owners have not written since.
+  // Entries up to this revision come from a restored backup; their owners haven't written them since.
   let copyRevision = -Infinity
   let copyLastsUntilMs = -Infinity
-  // When what was written last before the copy was restored has been written again.
+  // Time by which owners have rewritten the entries that were lost in the restore.
   let rewrittenAtMs = -Infinity
   let isCopyUnread = false
   let currentAtMs = clock.nowMs()
@@ -128,7 +134,7 @@
     currentAtMs = clock.nowMs()
   }
 
-  // By both clocks: the monotonic one does not count a suspension of the machine.
+  // Uses the larger age of both clocks, since the monotonic clock doesn't advance during a suspension.
   function provenAtMs (asked: AskTime): number | undefined {
     if (asked.atMs < rewrittenAtMs) return undefined
     return clock.nowMs() - Math.max(clock.nowMs() - asked.atMs, clock.wallMs() - asked.wallMs)
@@ -158,23 +164,23 @@
   function takeGone (keys: readonly string[]): void {
     const gone = keys.filter((key) => known.has(key))
     if (gone.length === 0) return
-    // What lapsed in an outage may be back soon: the full read after it decides. The
-    // listener hears of it at once, since it may as well have been removed: on a day on
-    // which replicas were replaced after a cut, entries used them for 2.2 s otherwise.
+    // Entries that expired in an outage may be written again soon, which a later full read shows.
+    // The listener is notified immediately, since they may also have been deleted: when replicas
+    // were replaced after a partition from the service, entries kept using the old ones for 2.2 s.
     if (isReturning()) return listener.onMissing(gone, clock.nowMs() - returnedAtMs)
     for (const key of gone) known.delete(key)
     listener.onGone(gone)
   }
 
-  // What left before a copy was restored is listed by it until it lapses, while owners that
-  // live write again one after the other.
+  // A restored backup lists entries of processes that have ended since until the entries expire,
+  // while live owners write theirs again one by one.
   function takeUnwritten (entries: readonly KeyValueEntry[]): void {
     const unwritten = entries.filter(({ revision }) => revision <= copyRevision).map(({ key }) => key)
     if (unwritten.length > 0) listener.onMissing(unwritten, clock.nowMs() - returnedAtMs)
   }
 
-  // An owner may have written again before this process first read the copy, and not since:
-  // what is listed beyond the time in which the copy lapses is kept up by its owner.
+  // An owner may have written its entry again before this process first read the restored backup,
+  // and not since. An entry that outlasts the expiry of the backup is renewed by its owner.
   function noteCopy (storeRevision: number): void {
     if (isCopyUnread) copyRevision = storeRevision
     isCopyUnread = false
@@ -199,13 +205,14 @@
     return outcome.storeRevision
   }
 
-  // A full read is due now and then, and once when what lapsed in an outage is back or a copy has lapsed.
+  // A full read is due periodically, once after expired entries could be written again, and once after a
+  // restored backup has expired.
   function readDueInMs (): number {
     const onceAtMs = [returnedAtMs + RETURN_MS, copyLastsUntilMs].filter((atMs) => fullReadAtMs < atMs)
     return Math.min(fullReadAtMs + REREAD_MS, ...onceAtMs) - clock.nowMs()
   }
 
-  // Time until the next watch after a change.
+  // Returns the time to wait before the next watch after a change.
   function spendCredit (): number {
     credit = Math.min(AT_ONCE, credit + (clock.nowMs() - creditAtMs) / batchMs) - 1
     creditAtMs = clock.nowMs()
@@ -215,7 +222,7 @@
   async function watchFrom (first: number): Promise<void> {
     for (let revision = first; !ended.signal.aborted && readDueInMs() > 0;) {
       const asked = readClocks()
-      // Counted from the last answer, so that a pause before the watch prolongs nothing.
+      // Measured from the last response, so that a pause before the watch doesn't extend the total time.
       const leftMs = currentAtMs + watchWaitMs - asked.atMs
       const waitMs = Math.ceil(Math.max(SHORTEST_WAIT_MS, Math.min(leftMs, readDueInMs())))
       const outcome = await port.watch(prefix, revision, waitMs, watchSlackMs)
@@ -233,8 +240,8 @@
     }
   }
 
-  // The copy is older than what was read, and what its owners write again comes within the
-  // time in which lapsed entries return: as after an outage, but read at once.
+  // The restored backup is older than the known state, and owners write their entries again within
+  // the same time as after an outage. Unlike then, a full read follows immediately.
   const stopListening = port.onEra?.(() => {
     returnedAtMs = clock.nowMs()
     fullReadAtMs = -Infinity
--- a/packages/bendfall-edge/src/index.ts
+++ b/packages/bendfall-edge/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Runtime of the router.
+ * Runtime of the router processes: entry, sidecar, their settings and the platform adapter types.
  *
  * @module
  */
--- a/packages/bendfall-edge/src/replica/BendfallEdgeAnswerIdentity.ts
+++ b/packages/bendfall-edge/src/replica/BendfallEdgeAnswerIdentity.ts
@@ -1,7 +1,7 @@
 /**
- * Decides whether an answer belongs to the call that waits for it. Replicas may answer
- * twice, the second time when the next request is on the connection: only an answer that
- * echoes the id of its own request is read at all, whatever its status.
+ * Verifies that a response belongs to the call that waits for it. Replicas may respond twice to a
+ * request, the second time when the next request is already on the connection. Therefore only a
+ * response that echoes the id of its request is accepted, regardless of its status.
  *
  * @module
  */
@@ -11,41 +11,41 @@
 import { startReplicaCall } from './BendfallEdgeReplicaCall.js'
 import type { ReplicaCall, ReplicaCallListener, ReplicaCallRequest } from './BendfallEdgeReplicaCall.js'
 
-/** A call whose answer echoes its id. */
+/** A request whose response echoes its id. */
 export interface IdentifiedRequest extends ReplicaCallRequest {
   readonly requestId: string
 }
 
-/** Takes what comes of a call; after `onEnd` or `onFail` nothing more comes. */
+/** Receives the events of a call; `onEnd` or `onFail` is the last one. */
 export interface IdentifiedListener extends Omit<ReplicaCallListener, 'onHead'> {
-  /** Called for an answer to this very request only. */
+  /** Called only for a response that echoes the id of the request. */
   readonly onHead: (status: number, headers: IncomingHttpHeaders, head: AnswerHead) => void
 }
 
-/** What identified calls need. */
+/** Dependencies of identified calls. */
 export interface IdentityOptions {
   readonly dialect: Pick<ReplicaDialect, 'readAnswerHead'>
-  /** Told of answers that are not those of the request. */
+  /** Called for responses that don't belong to the request. */
   readonly onGarbled: (requestId: string, detail: string) => void
 }
 
-/** How an answer starts (RFC 9112, section 4). */
+/** Start of a response (RFC 9112, section 4). */
 const START_LINE = /HTTP\/1\.[01] \d{3}/
 
-/** What came belongs to another request, or does not tell to which. */
+/** The response belongs to another request, or to an unknown one. */
 class ForeignAnswerError extends Error {
-  override readonly name = 'ForeignAnswerError'
+  override readonly name = 'MismatchedResponseError'
 }
 
 /**
- * Starts a call. An answer that is not its own ends it as one that may have run, and
- * closes the connection: the call's own answer may be behind it.
+ * Starts a call. A response that doesn't belong to it fails the call as one that may have been
+ * executed, and closes the connection, since the call's own response may follow.
  *
- * @param options - how heads are read, and who is told
+ * @param options - decoder of response heads and callback for mismatched responses
  * @param pool - connections to the replica
- * @param request - the call
- * @param listener - takes what comes of it
- * @returns the call
+ * @param request - request with its id
+ * @param listener - receives the events of the call
+ * @returns handle of the call
  */
 export function startIdentifiedCall (options: IdentityOptions, pool: ConnectionPool, request: IdentifiedRequest, listener: IdentifiedListener): ReplicaCall {
   const { dialect, onGarbled } = options
@@ -64,9 +64,9 @@
   return call
 }
 
-// A second answer that broke off within its head is continued by the answer behind it: the
-// status is of the one, the id of the other. The second start line is then in the first one
-// or in a value.
+// A duplicate response that is truncated within its head is continued by the next response, which
+// combines the status of one with the id of the other. The second start line then appears within
+// the first one or within a header value.
 function isJoined (headers: IncomingHttpHeaders, startLine: string): boolean {
   if (START_LINE.test(startLine.slice(1))) return true
   return Object.values(headers).flat().some((value) => value !== undefined && START_LINE.test(value))
--- a/packages/bendfall-edge/src/replica/BendfallEdgeCallFailure.ts
+++ b/packages/bendfall-edge/src/replica/BendfallEdgeCallFailure.ts
@@ -1,20 +1,20 @@
 /**
- * Reads from the error of a call how it failed.
+ * Classifies errors of calls to replicas.
  *
  * @module
  */
 import type { SendFailure } from 'bendfall-router'
 import { ConnectionResetError } from './BendfallEdgeReplicaSocket.js'
 
-/** Codes of errors after which the connection is gone: of the HTTP client and of the system. */
+/** Error codes of the HTTP client and the system that indicate a lost connection. */
 const LOST_CODES: ReadonlySet<string | undefined> = new Set(['UND_ERR_SOCKET', 'ECONNRESET', 'EPIPE'])
 
 /**
- * Tells how a call failed.
+ * Classifies the error of a call.
  *
- * @param error - of the call
+ * @param error - error with which the call ended
  * @param isSent - whether bytes of the request may have reached the replica
- * @returns the failure
+ * @returns the kind of failure
  */
 export function failureOf (error: Error, isSent: boolean): SendFailure {
   if (!isSent) return 'not_sent'
--- a/packages/bendfall-edge/src/replica/BendfallEdgeConnections.ts
+++ b/packages/bendfall-edge/src/replica/BendfallEdgeConnections.ts
@@ -1,6 +1,7 @@
 /**
- * Connections to one replica: one request at a time on each, the one used last
- * first, so that few stay open. None is used again after anything unasked came on it.
+ * Connection pool of one replica. A connection carries one request at a time, and the most recently
+ * used one is reused first, so that few stay open. A connection on which unsolicited data has
+ * arrived is not reused.
  *
  * @module
  */
@@ -9,69 +10,69 @@
 import { connectReplica } from './BendfallEdgeReplicaSocket.js'
 import type { ConnectCallback, ReplicaSocket } from './BendfallEdgeReplicaSocket.js'
 
-/** Idle time after which a connection is closed when the replica does not tell its own. */
+/** Idle time after which a connection is closed if the replica doesn't specify one. */
 const IDLE_CLOSE_MS = 8_000
 
-/** Longest idle time that a replica may ask for. */
+/** Maximum idle time that a replica may specify. */
 const LONGEST_IDLE_MS = 60_000
 
-/** Port of an address that names none. */
+/** Port of an address without a port. */
 const HTTP_PORT = 80
 
-/** Head of an answer at most. */
+/** Maximum size of a response head. */
 const MAX_HEAD_BYTES = 32_768
 
-/** Requests that a connection carries at most; it remembers their ids, some 100 bytes each. */
+/** Maximum number of requests per connection, since it stores their ids of about 100 bytes each. */
 const MOST_REQUESTS = 256
 
-/** A connection that one request uses at a time. */
+/** A connection that carries one request at a time. */
 export interface Connection {
   readonly client: Client
-  /** How its data ended; `undefined` while it is open, and after an error. */
+  /** Returns how the received data ended; `undefined` while the connection is open and after an error. */
   readonly end: () => ConnectionEnd | undefined
   /**
-   * Sets who is told of the end of the data before the client acts on it; replaces the
-   * former one.
+   * Sets the listener that is called at the end of the data, before the HTTP client handles it.
+   * Replaces the previous listener.
    */
   readonly onEnding: (listener: () => void) => void
-  /** Ids of the requests that it carried; absent: it carries one call. */
+  /** Ids of the requests carried so far; absent for a connection dedicated to a single call. */
   readonly requestIds?: Set<string>
-  /** Bytes that came on it so far. */
+  /** Returns the number of bytes received so far. */
   readonly bytesRead: () => number
-  /** Keeps the first line of the next answer anew. */
+  /** Resets the recorded start line for the next response. */
   readonly awaitAnswer: () => void
-  /** @returns what came of that line */
+  /** @returns the received part of the start line of the response */
   readonly startLine: () => string
 }
 
-/** A connection that waits for its next request. */
+/** A connection that is available for the next request. */
 interface IdleConnection {
   readonly connection: Connection
-  /** Bytes that had come when its last answer had ended. */
+  /** Bytes received by the end of the last response. */
   readonly bytesRead: number
 }
 
-/** Connections to one replica. */
+/** Connection pool of one replica. */
 export interface ConnectionPool {
   /**
-   * @param requestId - of the request; absent: the answer bears no id
-   * @returns a connection that no request uses and that carried none of the same id, since
-   * the id does not tell a second answer to the earlier one; a new one without an id
+   * @param requestId - id of the request; omitted if the response echoes none
+   * @returns an idle or new connection that hasn't carried a request with the same id, since the id
+   * couldn't identify a duplicate response to the earlier one; without an id always a new connection
    */
   readonly take: (requestId?: string) => Connection
-  /** Gives a connection back after its answer. */
+  /** Returns a connection to the pool after its response. */
   readonly giveBack: (connection: Connection) => void
-  /** Ends the connections that no request uses. */
+  /** Closes all idle connections. */
   readonly closeIdle: () => void
-  /** Ends all connections. */
+  /** Closes all connections. */
   readonly destroy: () => void
 }
 
 /**
- * Makes the pool of a replica.
+ * Creates the connection pool of a replica.
  *
  * @param address - `ip:port` of the replica
- * @param onConnect - called for each connection opened
+ * @param onConnect - called for each opened connection
  * @returns the pool
  */
 export function createConnectionPool (address: string, onConnect: () => void): ConnectionPool {
@@ -151,5 +152,6 @@
   }
 }
 
-// The error of a destroyed client is the destroy itself; its request, if any, was told.
+// A destroyed client rejects because of the destruction itself; its request, if any, has already been
+// notified.
 function ignoreError (): void {}
--- a/packages/bendfall-edge/src/replica/BendfallEdgeEventSplitter.ts
+++ b/packages/bendfall-edge/src/replica/BendfallEdgeEventSplitter.ts
@@ -1,26 +1,26 @@
 /**
- * Cuts a stream of server-sent events into whole events, so that another
- * replica can go on behind the last one.
+ * Splits a stream of server-sent events into complete events, so that another replica can resume
+ * the stream after the last one.
  *
  * @module
  */
 
-/** Whole events of a chunk and the id of the last one. */
+/** Complete events of a chunk and the position in the stream. */
 export interface WholeEvents {
   readonly bytes: Buffer
-  /** Id of the last whole event so far; absent before the first. */
+  /** Latest id of a complete event so far; absent before the first id. */
   readonly lastEventId?: string
-  /** Number of whole events so far. */
+  /** Number of complete events so far. */
   readonly count: number
 }
 
-/** Cuts a stream. */
+/** Incremental splitter of an event stream. */
 export interface EventSplitter {
-  /** Takes a chunk and gives the events that it completes; what follows them is kept for the next one. */
+  /** Adds a chunk and returns the events that it completes; the remaining bytes are kept for the next chunk. */
   readonly take: (chunk: Buffer) => WholeEvents
-  /** What followed the last whole event so far. */
+  /** Returns the bytes after the last complete event. */
   readonly tail: () => Buffer
-  /** Whether that is a part of an event. */
+  /** Returns whether these bytes are part of an event. */
   readonly isWithinEvent: () => boolean
 }
 
@@ -30,7 +30,7 @@
 const ID_LINE = /^id: ?(.*)$/
 
 /**
- * Makes a splitter.
+ * Creates a splitter for one stream.
  *
  * @returns the splitter
  */
@@ -54,8 +54,8 @@
   return { take, tail: () => rest, isWithinEvent: () => hasText(rest) }
 }
 
-// An event ends with an empty line. Lines end with LF, CR LF or CR: a CR at the end of the
-// chunk waits for its LF only where the lines before ended so.
+// Returns the end of the next event, or -1. An event ends with an empty line, and lines end with LF,
+// CR LF or CR. A CR at the end of the chunk waits for an LF only if earlier lines ended with CR LF.
 function findEventEnd (text: Buffer, from: number): number {
   let lineStart = from
   for (let at = from; at < text.length; at++) {
--- a/packages/bendfall-edge/src/replica/BendfallEdgeHolds.ts
+++ b/packages/bendfall-edge/src/replica/BendfallEdgeHolds.ts
@@ -1,5 +1,5 @@
 /**
- * Carries out the effects that hold memory at a replica and give it back.
+ * Executes the effects that reserve memory at a replica (a hold) and release it.
  *
  * @module
  */
@@ -11,20 +11,20 @@
 import { tellOwnNotice } from './BendfallEdgeNotices.js'
 import { startIgnoredCall, startOwnCall } from './BendfallEdgeOwnCall.js'
 
-/** What holds need. */
+/** Dependencies of the effects. */
 export interface HoldOptions {
   readonly loop: UpdateLoop<RouterEvent, RouterEffect>
   readonly dialect: ReplicaDialect
-  /** Connections to the replica at an address. */
+  /** Returns the connection pool of the replica at an address. */
   readonly poolOf: (address: string) => ConnectionPool
-  /** @returns whether a replica names a limit */
+  /** @returns whether the replica has a known request limit */
   readonly hasLimit: (replicaId: string) => boolean
 }
 
 /**
  * Registers the effects `take_hold` and `drop_hold`.
  *
- * @param options - update path, dialect and connections
+ * @param options - event loop, platform adapter and connections
  * @returns teardown
  */
 export function registerHolds (options: HoldOptions): Teardown {
--- a/packages/bendfall-edge/src/replica/BendfallEdgeNotices.ts
+++ b/packages/bendfall-edge/src/replica/BendfallEdgeNotices.ts
@@ -1,6 +1,6 @@
 /**
- * Hands what replicas say of themselves in the heads of answers to the update path,
- * whatever the call was.
+ * Dispatches the status that replicas report about themselves in response headers (shutdown,
+ * backoff, request limit) as events, regardless of the kind of call.
  *
  * @module
  */
@@ -9,26 +9,26 @@
 import type { ReplicaNotice, RouterEffect, RouterEvent } from 'bendfall-router'
 import type { AnswerHead, ReplicaDialect } from '../BendfallEdgeDialect.js'
 
-/** Who is told. */
+/** Dependencies for dispatching notices. */
 export interface NoticeOptions {
   readonly loop: UpdateLoop<RouterEvent, RouterEffect>
   readonly dialect: Pick<ReplicaDialect, 'readAnswerHead'>
-  /** @returns whether a replica names a limit, so that an answer without one tells something */
+  /** @returns whether the replica has a known limit, so that a response without one is relevant too */
   readonly hasLimit: (replicaId: string) => boolean
 }
 
-/** A call that was made to a replica. */
+/** Target and time of a call. */
 export interface NoticedCall {
   readonly replicaId: string
   readonly sentAtMs: number
 }
 
 /**
- * Tells what the head of an answer says of its replica, if it says anything.
+ * Dispatches the notice in the head of a response, if it contains one.
  *
- * @param options - update path
- * @param call - that is answered
- * @param head - of its answer
+ * @param options - event loop and check for known limits
+ * @param call - call that the response belongs to
+ * @param head - decoded head of the response
  */
 export function tellNotice ({ hasLimit, loop }: Pick<NoticeOptions, 'hasLimit' | 'loop'>, { replicaId, sentAtMs }: NoticedCall, { isWrongReplica, notice }: AnswerHead): void {
   if (isWrongReplica || !(saysAnything(notice) || hasLimit(replicaId))) return
@@ -40,11 +40,11 @@
 }
 
 /**
- * The same for the answer to a call of the router's own.
+ * Dispatches the notice in the response to a control call, if it contains one.
  *
- * @param options - update path and dialect
- * @param call - that is answered
- * @param answer - status and headers
+ * @param options - event loop, response decoder and check for known limits
+ * @param call - call that the response belongs to
+ * @param response - status and headers of the response
  */
 export function tellOwnNotice (options: NoticeOptions, call: NoticedCall, { headers, status }: { readonly status: number, readonly headers: IncomingHttpHeaders }): void {
   tellNotice(options, call, options.dialect.readAnswerHead(status, headers))
--- a/packages/bendfall-edge/src/replica/BendfallEdgeOwnCall.ts
+++ b/packages/bendfall-edge/src/replica/BendfallEdgeOwnCall.ts
@@ -1,6 +1,6 @@
 /**
- * A call of the router itself, to which replicas echo no id: its answer is read whole
- * within a time.
+ * Control calls, which the router makes to a replica on its own behalf. Replicas echo no request
+ * id for them. The response is read completely within a timeout.
  *
  * @module
  */
@@ -10,35 +10,35 @@
 import { startReplicaCall } from './BendfallEdgeReplicaCall.js'
 import type { ReplicaCallRequest } from './BendfallEdgeReplicaCall.js'
 
-/** Answers are read up to this; those of holds and orders have some hundred bytes. */
+/** Default size limit of responses; those to holds and orders have a few hundred bytes. */
 const ANSWER_BYTES = 4_096
 
-/** An answer that decides nothing is waited for as long as for an order, so that the connection ends. */
+/** Timeout of best-effort calls, the same as for orders; it ensures that the connection is closed. */
 const IGNORED_TIMEOUT_MS = 1_000
 
-/** What came of a call. */
+/** Outcome of a control call. */
 export type OwnCallOutcome =
   | { readonly type: 'answered', readonly status: number, readonly headers: IncomingHttpHeaders, readonly body: Buffer }
-  /** `isSent`: bytes of the call may have reached the replica. */
+  /** `isSent`: whether bytes of the request may have reached the replica. */
   | { readonly type: 'unanswered', readonly isSent: boolean }
 
-/** How a call is waited for. */
+/** Time and size limits of a control call. */
 export interface OwnCallOptions {
   readonly clock: Clock
-  /** The call is given up after this. */
+  /** Time after which the call is aborted. */
   readonly timeoutMs: number
-  /** Longest answer that is read; what is behind it is left out. */
+  /** Size limit of the response body; chunks that exceed it are discarded. */
   readonly maxBytes?: number
 }
 
 /**
- * Starts a call. Without a `requestId` it has a connection of its own, which is closed
- * afterwards: nothing else can tell a second answer from the answer to another call.
+ * Starts a control call. Without a `requestId` it uses a dedicated connection, which is closed
+ * afterwards: otherwise a duplicate response couldn't be distinguished from that to another call.
  *
  * @param pool - connections to the replica
- * @param request - the call
- * @param options - how it is waited for
- * @param onOutcome - called once
+ * @param request - request to send
+ * @param options - clock, timeout and size limit
+ * @param onOutcome - called once with the outcome
  */
 export function startOwnCall (pool: ConnectionPool, request: ReplicaCallRequest, options: OwnCallOptions, onOutcome: (outcome: OwnCallOutcome) => void): void {
   const { clock, maxBytes = ANSWER_BYTES, timeoutMs } = options
@@ -76,11 +76,12 @@
 }
 
 /**
- * Starts a call whose answer decides nothing: what is not given back lapses soon.
+ * Starts a call that releases a resource and ignores its outcome, since a resource that isn't
+ * released expires soon anyway.
  *
  * @param pool - connections to the replica
  * @param call - method and path
- * @param clock - to end the wait by
+ * @param clock - clock for the timeout
  */
 export function startIgnoredCall (pool: ConnectionPool, call: Pick<ReplicaCallRequest, 'method' | 'path'>, clock: Clock): void {
   startOwnCall(pool, { ...call, headers: [] }, { clock, timeoutMs: IGNORED_TIMEOUT_MS }, () => {})
--- a/packages/bendfall-edge/src/replica/BendfallEdgePrefillListener.ts
+++ b/packages/bendfall-edge/src/replica/BendfallEdgePrefillListener.ts
@@ -1,5 +1,5 @@
 /**
- * Reads the answer of a replica that was asked to read a prompt.
+ * Reads the response of a replica to a prefill request.
  *
  * @module
  */
@@ -8,14 +8,14 @@
 import { failureOf } from './BendfallEdgeCallFailure.js'
 import type { IdentifiedListener } from './BendfallEdgeAnswerIdentity.js'
 
-/** Longest answer of a prefill that is read. */
+/** Size limit of a prefill response. */
 const PREFILL_ANSWER_BYTES = 65_536
 
 /**
- * Makes the listener of one prefill.
+ * Creates the listener of a prefill call.
  *
- * @param dialect - reads the result
- * @param onResult - told what came of it, once
+ * @param dialect - decoder of the result
+ * @param onResult - called once with the outcome
  * @returns the listener
  */
 export function createPrefillListener (dialect: ReplicaDialect, onResult: (outcome: PrefillOutcome) => void): IdentifiedListener {
--- a/packages/bendfall-edge/src/replica/BendfallEdgeReplicaCall.ts
+++ b/packages/bendfall-edge/src/replica/BendfallEdgeReplicaCall.ts
@@ -1,6 +1,6 @@
 /**
- * One call to a replica over one connection. Tells whether any byte of the
- * request was sent, and takes an answer for whole only if its end was seen.
+ * A single call to a replica over one connection. Reports whether any byte of the request may have
+ * been sent, and treats a response as complete only if its end was received.
  *
  * @module
  */
@@ -11,34 +11,34 @@
 import type { Connection, ConnectionPool } from './BendfallEdgeConnections.js'
 import { ConnectionResetError } from './BendfallEdgeReplicaSocket.js'
 
-/** A call. */
+/** Request to a replica. */
 export interface ReplicaCallRequest {
   readonly method: string
-  /** Path with query. */
+  /** Path including the query. */
   readonly path: string
-  /** Names and values by turns. */
+  /** Alternating names and values. */
   readonly headers: readonly string[]
   readonly body?: Buffer
-  /** Id that the answer echoes; a call without one has a connection of its own. */
+  /** Id that the response echoes; a call without an id uses a dedicated connection. */
   readonly requestId?: string
 }
 
-/** Takes what comes of a call; after `onEnd` or `onFail` nothing more comes. */
+/** Receives the events of a call; `onEnd` or `onFail` is the last one. */
 export interface ReplicaCallListener {
-  /** @param startLine - first line of the answer as it came */
+  /** @param startLine - first line of the response as received */
   readonly onHead: (status: number, headers: IncomingHttpHeaders, startLine: string) => void
   readonly onChunk: (chunk: Buffer) => void
-  /** @param framing - what told the end of the answer */
+  /** @param framing - how the end of the response was determined */
   readonly onEnd: (framing: AnswerFraming) => void
   /** @param isSent - whether bytes of the request may have reached the replica */
   readonly onFail: (error: Error, isSent: boolean) => void
 }
 
-/** A call under way. */
+/** A call in progress. */
 export interface ReplicaCall {
-  /** Closes the connection, so that the replica drops the request. Nothing more comes. */
+  /** Closes the connection, so that the replica cancels the request. No further events follow. */
   readonly abort: () => void
-  /** Stops reading until `resume`. */
+  /** Stops reading the response until `resume` is called. */
   readonly pause: () => void
   readonly resume: () => void
 }
@@ -49,9 +49,9 @@
  * Starts a call.
  *
  * @param pool - connections to the replica
- * @param request - the call
- * @param listener - takes what comes of it
- * @returns the call
+ * @param request - request to send
+ * @param listener - receives the events of the call
+ * @returns handle of the call
  */
 export function startReplicaCall (pool: ConnectionPool, request: ReplicaCallRequest, listener: ReplicaCallListener): ReplicaCall {
   const connection = pool.take(request.requestId)
@@ -66,9 +66,9 @@
     return true
   }
 
-  // The client can't judge the end of a connection while its parser is paused: it fails on
-  // an assertion in an event of the socket, which ends the process and cuts the answers of
-  // all other callers. What is left then is at most what the socket has read ahead.
+  // The HTTP client can't process the end of a connection while its parser is paused: an assertion
+  // fails in a socket event handler, which terminates the process and the responses of all other
+  // callers. The data still unread at this point is at most what the socket has read ahead.
   connection.onEnding(() => {
     isEnding = true
     controller?.resume()
@@ -76,7 +76,7 @@
   const handler: Dispatcher.DispatchHandler = {
     onRequestStart: (started) => {
       controller = started
-      if (isOver) started.abort(new Error('given up'))
+      if (isOver) started.abort(new Error('call aborted'))
     },
     onResponseStart: (_, status, headers) => {
       if (isOver || status < FIRST_FINAL_STATUS) return
@@ -87,10 +87,10 @@
       if (!isOver) listener.onChunk(chunk)
     },
     onResponseEnd: () => {
-      // The client is free only once this handler has returned.
+      // The client can be reused only after this handler has returned.
       setImmediate(() => pool.giveBack(connection))
       if (!finish()) return
-      if (framing === 'connection' && connection.end() !== 'orderly') listener.onFail(new ConnectionResetError('connection reset within an answer without a length'), true)
+      if (framing === 'connection' && connection.end() !== 'orderly') listener.onFail(new ConnectionResetError('connection reset within a close-delimited response'), true)
       else listener.onEnd(framing)
     },
     onResponseError: (_, error) => {
@@ -103,7 +103,7 @@
     abort: () => {
       if (!finish()) return
       if (controller === undefined) connection.client.destroy().catch(() => {})
-      else controller.abort(new Error('given up'))
+      else controller.abort(new Error('call aborted'))
     },
     pause: () => {
       if (!isEnding) controller?.pause()
--- a/packages/bendfall-edge/src/replica/BendfallEdgeReplicaChecks.ts
+++ b/packages/bendfall-edge/src/replica/BendfallEdgeReplicaChecks.ts
@@ -1,6 +1,5 @@
 /**
- * Carries out the effect that finds out whether the process of a replica still takes
- * connections.
+ * Executes the effect that checks whether a replica's process still accepts connections.
  *
  * @module
  */
@@ -8,17 +7,17 @@
 import type { ProcessCheck, RouterEffect, RouterEvent } from 'bendfall-router'
 import { connectReplica } from './BendfallEdgeReplicaSocket.js'
 
-/** What checks need. */
+/** Dependencies of the checks. */
 export interface ReplicaCheckOptions {
   readonly loop: UpdateLoop<RouterEvent, RouterEffect>
-  /** Called for each connection opened. */
+  /** Called for each opened connection. */
   readonly onConnect: () => void
 }
 
 /**
  * Registers the effect `check_replica`.
  *
- * @param options - update path and count of connections
+ * @param options - event loop and callback for opened connections
  * @returns teardown
  */
 export function registerReplicaChecks ({ loop, onConnect }: ReplicaCheckOptions): Teardown {
--- a/packages/bendfall-edge/src/replica/BendfallEdgeReplicaPools.ts
+++ b/packages/bendfall-edge/src/replica/BendfallEdgeReplicaPools.ts
@@ -1,23 +1,24 @@
 /**
- * Connections to all replicas, by address.
+ * Connection pools of all replicas, by address.
  *
  * @module
  */
 import type { ConnectionPool } from './BendfallEdgeConnections.js'
 import { createConnectionPool } from './BendfallEdgeConnections.js'
 
-/** Pools of all replicas. */
+/** Connection pools of all replicas. */
 export interface ReplicaPools {
+  /** Returns the pool of a replica; creates it on first use. */
   readonly at: (address: string) => ConnectionPool
-  /** Forgets replicas that are gone; what runs on their connections goes on. */
+  /** Removes the pools of other addresses; calls in progress on their connections continue. */
   readonly keepOnly: (addresses: ReadonlySet<string>) => void
   readonly destroyAll: () => void
 }
 
 /**
- * Makes pools, one a replica, as they are asked for.
+ * Creates a collection of pools, one per replica, which are opened on demand.
  *
- * @param onConnect - called for each connection opened
+ * @param onConnect - called for each opened connection
  * @returns the pools
  */
 export function createReplicaPools (onConnect: () => void): ReplicaPools {
--- a/packages/bendfall-edge/src/replica/BendfallEdgeReplicaSocket.ts
+++ b/packages/bendfall-edge/src/replica/BendfallEdgeReplicaSocket.ts
@@ -1,9 +1,9 @@
 /**
- * Sockets to replicas, which tell a reset from an orderly end.
+ * Sockets to replicas that distinguish a reset from a graceful close.
  *
- * The HTTP client takes a reset for the end of an answer that only its connection ends,
- * and fails on an assertion when the connection ends while its parser is paused. Both are
- * settled here, before the client hears of the end.
+ * The HTTP client treats a reset as the end of a close-delimited response, and fails with an
+ * assertion if the connection ends while its parser is paused. The sockets handle both cases before
+ * the client is notified of the end.
  *
  * @module
  */
@@ -13,53 +13,53 @@
 import { connectionEndOf } from 'bendfall-platform'
 import type { ConnectionEnd } from 'bendfall-platform'
 
-/** Longest time to open a connection; a first packet that is lost is sent again only after a second. */
+/** Timeout for opening a connection; a lost first packet is retransmitted only after a second. */
 export const CONNECT_TIMEOUT_MS = 400
 
-/** From an idle connection to the first keep-alive probe. */
+/** Idle time of a connection before the first TCP keep-alive probe. */
 const PROBE_AFTER_MS = 1_000
 
-/** Reads 64 KiB ahead, the largest piece that is read at once. */
+/** Reads ahead 64 KiB, the maximum size of a single read. */
 const SOCKET_OPTIONS: DuplexOptions & SocketConstructorOpts = { highWaterMark: 65_536 }
 
-/** The replica, or what stands before it, reset the connection. */
+/** The replica, or an intermediary in front of it, reset the connection. */
 export class ConnectionResetError extends Error {
   override readonly name = 'ConnectionResetError'
 }
 
-/** No connection was opened in time. */
+/** The connection was not established within the timeout. */
 export class ConnectTimeoutError extends Error {
   override readonly name = 'ConnectTimeoutError'
 }
 
-/** What a connection needs. */
+/** Address and end listener of a connection. */
 export interface ReplicaSocketOptions {
   readonly host: string
   readonly port: number
-  /** Told of the end of the data before any listener that is added later. */
+  /** Called at the end of the data, before any listener that is added later. */
   readonly onEnd: (end: ConnectionEnd) => void
 }
 
-/** Takes the socket, or why there is none. */
+/** Receives the connected socket or the error. */
 export type ConnectCallback = (...result: readonly [null, ReplicaSocket] | readonly [Error, null]) => void
 
-/** Longest start line that is kept: a status and its reason. */
+/** Maximum part of the start line (status and reason phrase) that is recorded. */
 const START_LINE_BYTES = 256
 
 const LINE_FEED = 0x0a
 
-/** A socket to a replica. */
+/** Socket to a replica that records the start line of the current response. */
 export class ReplicaSocket extends Socket {
   readonly #startLine: Buffer[] = []
   #isStartLineRead = false
 
-  /** Keeps the start line of the next answer anew. */
+  /** Resets the recorded start line for the next response. */
   awaitAnswer (): void {
     this.#startLine.length = 0
     this.#isStartLineRead = false
   }
 
-  /** @returns what came of the first line of the answer; the client keeps its last piece only */
+  /** @returns the received part of the first response line, of which the HTTP client keeps only the last chunk */
   startLine (): string {
     return Buffer.concat(this.#startLine).toString('latin1')
   }
@@ -75,8 +75,8 @@
     this.#isStartLineRead = end !== -1 || this.#startLine.length >= START_LINE_BYTES
   }
 
-  // A reset becomes an error of our own: on the system's code for it the client would take
-  // what it has for the whole answer, and fail if its parser is paused.
+  // Replaces the system's reset error: on its code the HTTP client would treat the data received so
+  // far as the complete response, and fail if its parser is paused.
   override _destroy (error: Error | null, callback: (error?: Error | null) => void): void {
     super._destroy(isReset(error) ? new ConnectionResetError('connection reset', { cause: error }) : error, callback)
   }
@@ -89,14 +89,13 @@
 /**
  * Opens a connection.
  *
- * @param options - address and listener of the end
- * @param callback - takes the socket once it is connected, or a `ConnectTimeoutError` or
- * the system's error
+ * @param options - address and end listener
+ * @param callback - receives the connected socket, or a `ConnectTimeoutError` or a system error
  */
 export function connectReplica (options: ReplicaSocketOptions, callback: ConnectCallback): void {
   const { host, onEnd, port } = options
   const socket = new ReplicaSocket(SOCKET_OPTIONS)
-  const timer = setTimeout(() => socket.destroy(new ConnectTimeoutError(`no connection within ${CONNECT_TIMEOUT_MS} ms`)), CONNECT_TIMEOUT_MS)
+  const timer = setTimeout(() => socket.destroy(new ConnectTimeoutError(`connection not established within ${CONNECT_TIMEOUT_MS} ms`)), CONNECT_TIMEOUT_MS)
   const onFailed = (error: Error): void => {
     clearTimeout(timer)
     callback(error, null)
--- a/packages/bendfall-edge/src/replica/BendfallEdgeRunListener.ts
+++ b/packages/bendfall-edge/src/replica/BendfallEdgeRunListener.ts
@@ -1,5 +1,6 @@
 /**
- * Takes the answer of a replica that runs a request, and passes on or holds what came.
+ * Receives the response of a replica that executes a request. Relays event streams and large
+ * responses to the caller, and buffers small responses so that a failed one can be retried.
  *
  * @module
  */
@@ -13,10 +14,10 @@
 import { failureOf } from './BendfallEdgeCallFailure.js'
 import { createEventSplitter } from './BendfallEdgeEventSplitter.js'
 
-/** Answers up to this size are held whole before the caller gets them, so that a broken one can be repeated. */
+/** Responses up to this size are buffered before they are sent to the caller, so that a failed one can be retried. */
 const HELD_ANSWER_BYTES = 262_144
 
-/** An answer that has neither a length nor chunks. */
+/** Response with neither a length nor chunked coding. */
 export interface UnframedAnswer {
   readonly requestId: string
   readonly address: string
@@ -24,30 +25,31 @@
   readonly bodyBytes: number
 }
 
-/** What a run needs of its send. */
+/** Dependencies of the listener. */
 export interface RunOptions {
   readonly loop: UpdateLoop<RouterEvent, RouterEffect>
-  /** Told of answers that are not what a replica should send. */
+  /** Called for responses that are not valid responses of a replica. */
   readonly onGarbled: (requestId: string, detail: string) => void
-  /** Told of answers whose end only their connection told: nothing else shows whether they are whole. */
+  /** Called for close-delimited responses, since nothing else indicates whether they are complete. */
   readonly onEndedWithConnection: (answer: UnframedAnswer) => void
-  /** The send as it is now; absent once it was given up. */
+  /** Returns the current send; undefined once it has been aborted. */
   readonly send: () => RunSend | undefined
 }
 
-/** The send of a run. */
+/** State of a request sent for execution. */
 export interface RunSend {
   readonly call: { readonly abort: () => void, readonly pause: () => void, readonly resume: () => void }
   readonly cancelTimeout: () => void
+  /** Complete response, buffered until its delivery to the caller. */
   held?: HeldAnswer
 }
 
 /**
- * Makes the listener of one run.
+ * Creates the listener of one execution of a request.
  *
- * @param options - update path, the send, and who is told of odd answers
- * @param effect - the send that was asked for
- * @param exchange - with the caller
+ * @param options - event loop, current send and callbacks for unusual responses
+ * @param effect - effect that caused the send
+ * @param exchange - exchange with the caller
  * @returns the listener
  */
 export function createRunListener (options: RunOptions, effect: RouterEffectOf<'send_run'>, exchange: Exchange): IdentifiedListener {
@@ -80,7 +82,7 @@
     this.status = status
     this.headers = headers
     this.judge(head)
-    // Its body would be written into the stream that it was to go on with.
+    // The body would be written into the event stream that it was supposed to resume.
     if (this.hasBegun() && !this.isEventStream()) this.fail('unknown')
   }
 
@@ -96,12 +98,12 @@
     if (this.isOver) return
     if (this.isBrokenOff(framing)) return this.breakOff()
     this.isOver = true
-    // Bytes that no empty line closed are the replica's as well.
+    // Bytes after the last empty line are part of the replica's response, too.
     this.relay(this.splitter.tail())
     if (framing === 'connection') this.tellUnframed()
     const send = this.options.send()
     send?.cancelTimeout()
-    // A run that goes on where another stopped may have nothing left to send.
+    // A run that resumes an interrupted response may have nothing left to send.
     if (!this.hasBegun() && send !== undefined) send.held = { status: this.status, headers: this.headers, body: Buffer.concat(this.chunks) }
     const { attempt, key } = this.effect
     this.options.loop.dispatch({ type: 'answer_complete', key, attempt, status: this.status, outputEvents: this.outputEvents, longestGapMs: Math.round(this.longestGapMs) })
@@ -159,10 +161,10 @@
     this.chunks.length = 0
   }
 
-  // Whether a stream that only its connection ended was broken off. An orderly end of a
-  // connection vouches for nothing: the kernel closes so what a replica that dies has open.
-  // Behind a whole event nobody can tell; within one, or before the first, it is no answer,
-  // and a last chunk of ours would vouch for it.
+  // Returns whether a close-delimited event stream was truncated. A graceful close proves nothing,
+  // since the kernel closes the connections of a terminated replica the same way. After a complete
+  // event truncation can't be detected. Within an event, or before the first one, the response is
+  // incomplete, and a last chunk added by the router would make it look complete.
   private isBrokenOff (framing: AnswerFraming): boolean {
     if (!this.isEventStream() || framing !== 'connection') return false
     if (this.hasBegun() && !this.exchange.endsWithConnection()) return true
@@ -187,15 +189,15 @@
   }
 }
 
-// The run of another replica may go on with this stream, so its length is not known.
+// Another replica may resume this stream, so its total length is unknown.
 function withoutLength ({ 'content-length': length, ...headers }: IncomingHttpHeaders): IncomingHttpHeaders {
   return length === undefined ? headers : { ...headers, 'transfer-encoding': 'chunked' }
 }
 
-// An answer that no replica vouches for must not reach the caller.
+// A response that was not demonstrably produced by a replica must not reach the caller.
 function describeUnvouched (status: number, head: AnswerHead): string | undefined {
   if (status < 300 && !head.isSigned) return 'answer without a signature'
-  // These statuses promise that the request has not run, which only the replica can know.
+  // These statuses imply that the request was not executed, which only the replica can know.
   if (status === 408 || status === 429 || status === 503) return `status ${status} that does not say whether the request ran`
   return undefined
 }
--- a/packages/bendfall-edge/src/replica/BendfallEdgeSends.ts
+++ b/packages/bendfall-edge/src/replica/BendfallEdgeSends.ts
@@ -1,6 +1,6 @@
 /**
- * Carries out the effects that send a request to a replica, and tells the
- * update path what came of them.
+ * Executes the effects that send a caller's request to a replica, and dispatches their outcomes as
+ * events.
  *
  * @module
  */
@@ -20,31 +20,31 @@
 import { createRunListener } from './BendfallEdgeRunListener.js'
 import type { RunOptions, RunSend } from './BendfallEdgeRunListener.js'
 
-/** What sends need. */
+/** Dependencies of the effects. */
 export interface SendOptions extends Omit<RunOptions, 'send'> {
   readonly dialect: ReplicaDialect
   readonly exchanges: ReadonlyMap<string, Exchange>
-  /** Connections to the replica at an address. */
+  /** Returns the connection pool of the replica at an address. */
   readonly poolOf: (address: string) => ConnectionPool
-  /** @returns whether a replica names a limit */
+  /** @returns whether the replica has a known request limit */
   readonly hasLimit: (replicaId: string) => boolean
 }
 
-/** An effect that sends a request. */
+/** An effect that sends a caller's request. */
 type SendEffect = RouterEffectOf<'send_run'> | RouterEffectOf<'send_prefill'>
 
 interface Send extends RunSend {
   readonly call: ReplicaCall
   readonly cancelTimeout: Teardown
-  /** Ends the send as one that may have run. */
+  /** Fails the send as one that may have been executed. */
   readonly fail: () => void
 }
 
 /**
  * Registers the effects.
  *
- * @param options - update path, dialect, exchanges and connections
- * @returns teardown that aborts what is under way
+ * @param options - event loop, platform adapter, exchanges and connections
+ * @returns teardown that aborts all sends in progress
  */
 export function registerSends (options: SendOptions): Teardown {
   const { dialect, exchanges, loop, poolOf } = options
@@ -69,12 +69,12 @@
     const call = startIdentifiedCall(options, poolOf(address), request, {
       ...listener,
       onHead: (status, answerHeaders, head) => {
-        // Before the failure that the head may tell: the next try must not go there.
+        // Must precede the failure that the head may cause, so that the retry avoids this replica.
         tellNotice(options, { replicaId, sentAtMs }, head)
         listener.onHead(status, answerHeaders, head)
       }
     })
-    sends.set(key, { call, cancelTimeout, fail: () => listener.onFail(new ConnectionResetError('the process of the replica ended'), true) })
+    sends.set(key, { call, cancelTimeout, fail: () => listener.onFail(new ConnectionResetError('replica process terminated'), true) })
   }
 
   function sendRun (effect: RouterEffectOf<'send_run'>): void {
