--- a/packages/bendfall-edge/src/BendfallEdgeEntry.ts
+++ b/packages/bendfall-edge/src/BendfallEdgeEntry.ts
@@ -60,7 +60,7 @@
  * Minimum time to keep serving after a stop was requested. The platform keeps routing callers
  * here until it has seen two failed readiness probes, one second apart, plus one more probe.
  */
-const LINGER_MS = 3_200
+const READINESS_LINGER_MS = 3_200
 
 /** Time reserved between the end of the graceful stop and the kill of the process. */
 const KILL_MARGIN_MS = 700
@@ -70,10 +70,10 @@
 const NO_CUSTOMERS: ReadonlyMap<string, Customer> = new Map()
 
 /** Maximum number of request ids in the log line about aborted responses. */
-const LOGGED_CUTS = 50
+const MAX_LOGGED_REQUEST_IDS = 50
 
 /** Interval between checks whether all requests have ended. */
-const STOP_CHECK_MS = 50
+const STOP_POLL_INTERVAL_MS = 50
 
 /**
  * Starts an entry.
@@ -107,7 +107,7 @@
     },
     onRequest: (request) => {
       nextKey += 1
-      takeRequest(loop, exchanges, open, request, String(nextKey), () => isStopping)
+      handleRequest(loop, exchanges, open, request, String(nextKey), () => isStopping)
     }
   })
   const ledgers = registerLedgerClients({ loop, logger, port: settings.peerPorts[0] })
@@ -131,7 +131,7 @@
   teardowns.push(registerHolds({ loop, dialect: dialect.replica, poolOf: pools.at, hasLimit: (replicaId) => hasLimit(state, replicaId) }))
   teardowns.push(registerReplicaChecks({ loop, onConnect }))
   teardowns.push(registerCrashReports({ loop, port: keyValue, logger, instanceId: settings.instanceId, rememberedMs: state.crashes.limits.rememberedMs }))
-  registerAnswers(loop, exchanges)
+  registerResponses(loop, exchanges)
   teardowns.push(registerTicks(loop))
   if (options.poolIntent !== undefined) {
     state.poolIntent = options.poolIntent
@@ -197,9 +197,9 @@
     const isOver = (): boolean => {
       const elapsedMs = clock.nowMs() - startedMs
       if (elapsedMs >= settings.stopGraceS * MS_PER_SECOND - KILL_MARGIN_MS) return true
-      return elapsedMs >= LINGER_MS && state.requests.size === 0 && open.size() === 0
+      return elapsedMs >= READINESS_LINGER_MS && state.requests.size === 0 && open.size() === 0
     }
-    while (!isOver()) await wait(STOP_CHECK_MS)
+    while (!isOver()) await wait(STOP_POLL_INTERVAL_MS)
     logger.info('stopped', { open: state.requests.size })
     // Must precede server.close(), which ends connections gracefully even if a response is
     // complete but not yet fully sent.
@@ -222,7 +222,7 @@
   }
 
   function logCut (cut: readonly Exchange[]): void {
-    if (cut.length > 0) logger.warn('answers_cut', { answers: cut.length, requests: cut.slice(0, LOGGED_CUTS).map(({ caller }) => caller.requestId).join(' ') })
+    if (cut.length > 0) logger.warn('answers_cut', { answers: cut.length, requests: cut.slice(0, MAX_LOGGED_REQUEST_IDS).map(({ caller }) => caller.requestId).join(' ') })
   }
 
   return { state: () => state, stop, cutOpen }
@@ -236,9 +236,9 @@
   })
 }
 
-function takeRequest (loop: UpdateLoop<RouterEvent, RouterEffect>, exchanges: Map<string, Exchange>, open: OpenExchanges, whole: WholeRequest, key: string, isStopping: () => boolean): void {
-  const { caller, request } = whole
-  const exchange = createExchange({ key, ...whole }, () => isStopping() && !whole.hasNext())
+function handleRequest (loop: UpdateLoop<RouterEvent, RouterEffect>, exchanges: Map<string, Exchange>, open: OpenExchanges, completeRequest: WholeRequest, key: string, isStopping: () => boolean): void {
+  const { caller, request } = completeRequest
+  const exchange = createExchange({ key, ...completeRequest }, () => isStopping() && !completeRequest.hasNext())
   exchanges.set(key, exchange)
   open.add(exchange, () => loop.dispatch({ type: 'caller_left', key }))
   loop.dispatch({
@@ -248,7 +248,7 @@
       requestId: caller.requestId,
       host: request.headers.host ?? '',
       path: request.url ?? '/',
-      fingerprint: fingerprintOf({ method: request.method ?? 'GET', path: request.url ?? '/', headers: request.headers, body: whole.body }),
+      fingerprint: fingerprintOf({ method: request.method ?? 'GET', path: request.url ?? '/', headers: request.headers, body: completeRequest.body }),
       deadlineMs: caller.deadlineMs,
       prompt: caller.prompt,
       keyDigest: caller.keyDigest,
@@ -269,7 +269,7 @@
   return () => cancel()
 }
 
-function registerAnswers (loop: UpdateLoop<RouterEvent, RouterEffect>, exchanges: Map<string, Exchange>): void {
+function registerResponses (loop: UpdateLoop<RouterEvent, RouterEffect>, exchanges: Map<string, Exchange>): void {
   const deadlines = new Map<string, () => void>()
   loop.registerEffect('set_deadline', ({ inMs, key }) => {
     deadlines.set(key, loop.clock.callAt(loop.clock.nowMs() + inMs, () => loop.dispatch({ type: 'deadline_passed', key })))
--- a/packages/bendfall-edge/src/BendfallEdgeSettings.ts
+++ b/packages/bendfall-edge/src/BendfallEdgeSettings.ts
@@ -70,7 +70,7 @@
 export const CONFIG_APPLY_MS = 2_000
 
 /** Shorter bounds would poll the key-value service several times per second. */
-const SHORTEST_BOUND = { type: 'number', minimum: 500 } as const
+const BOUND_MS_SCHEMA = { type: 'number', minimum: 500 } as const
 
 const ADDRESS = { type: 'string', format: 'ip-port' } as const
 const PORT = { type: 'integer', minimum: 1, maximum: 65_535 } as const
@@ -88,8 +88,8 @@
     peerPorts: { type: 'array', items: PORT, minItems: 2, maxItems: 2 },
     keyValueAddress: ADDRESS,
     stopGraceS: { type: 'number', exclusiveMinimum: 0 },
-    drainMs: SHORTEST_BOUND,
-    configApplyMs: SHORTEST_BOUND,
+    drainMs: BOUND_MS_SCHEMA,
+    configApplyMs: BOUND_MS_SCHEMA,
     poolsFile: { type: 'string', minLength: 1 },
     decisions: DECISIONS_SCHEMA,
     retryBudget: {
--- a/packages/bendfall-edge/src/caller/BendfallEdgeCallerTurns.ts
+++ b/packages/bendfall-edge/src/caller/BendfallEdgeCallerTurns.ts
@@ -26,23 +26,23 @@
   readonly waiting: (request: IncomingMessage) => number
 }
 
-interface Turn {
+interface PipelinedRequest {
   readonly request: IncomingMessage
   readonly response: ServerResponse
   readonly start: () => void
 }
 
 interface Connection {
-  current?: Turn
-  readonly waiting: Turn[]
+  current?: PipelinedRequest
+  readonly waiting: PipelinedRequest[]
   /** Status of the response to data that could not be parsed or queued after the last request. */
-  brokenStatus?: number
+  rejectionStatus?: number
 }
 
 /** Maximum number of queued requests per connection; further ones are not processed. */
-const LONGEST_QUEUE = 100
+const MAX_QUEUED_REQUESTS = 100
 
-const NOT_RUN = 503
+const SERVICE_UNAVAILABLE = 503
 const BAD_REQUEST = 400
 
 /** Response statuses by parser error code, the same as Node's HTTP server uses. */
@@ -74,32 +74,32 @@
     const connection = connections.get(socket)
     const status = ERROR_STATUSES[error.code ?? ''] ?? BAD_REQUEST
     const current = connection?.current
-    if (connection === undefined || current === undefined || !current.request.complete || !socket.writable) return refuseRest(socket, status)
-    connection.brokenStatus = status
-    if (socket.readableEnded) leave(socket, current)
+    if (connection === undefined || current === undefined || !current.request.complete || !socket.writable) return rejectRemaining(socket, status)
+    connection.rejectionStatus = status
+    if (socket.readableEnded) closeConnection(socket, current)
   })
 
   // After a parse error the server doesn't close the connection by itself, so the caller's
   // disconnect would go unnoticed: a replica kept working on such a request for 1.9 s.
-  function leave (socket: Duplex, { response }: Turn): void {
+  function closeConnection (socket: Duplex, { response }: PipelinedRequest): void {
     if (response.writableEnded) socket.end()
     else socket.destroy()
   }
 
-  function begin (connection: Connection, turn: Turn): void {
-    const { request: { complete, socket }, response, start } = turn
-    if (connection.brokenStatus !== undefined && !complete) return refuseRest(socket, connection.brokenStatus)
-    connection.current = turn
-    response.once('close', () => endTurn(connection, socket))
+  function startRequest (connection: Connection, pipelined: PipelinedRequest): void {
+    const { request: { complete, socket }, response, start } = pipelined
+    if (connection.rejectionStatus !== undefined && !complete) return rejectRemaining(socket, connection.rejectionStatus)
+    connection.current = pipelined
+    response.once('close', () => handleResponseClose(connection, socket))
     start()
   }
 
-  function endTurn (connection: Connection, socket: Duplex): void {
+  function handleResponseClose (connection: Connection, socket: Duplex): void {
     connection.current = undefined
     const next = connection.waiting.shift()
     if (!socket.writable) connection.waiting.length = 0
-    else if (next !== undefined) begin(connection, next)
-    else if (connection.brokenStatus !== undefined) refuseRest(socket, connection.brokenStatus)
+    else if (next !== undefined) startRequest(connection, next)
+    else if (connection.rejectionStatus !== undefined) rejectRemaining(socket, connection.rejectionStatus)
   }
 
   const waiting = (socket: Duplex): number => connections.get(socket)?.waiting.length ?? 0
@@ -107,17 +107,17 @@
   return {
     take: (request, response, start) => {
       const connection = connections.get(request.socket)
-      const turn = { request, response, start }
-      if (connection?.current === undefined) begin(connection ?? { waiting: [] }, turn)
-      else if (connection.waiting.length < LONGEST_QUEUE) connection.waiting.push(turn)
-      else connection.brokenStatus ??= NOT_RUN
+      const pipelined = { request, response, start }
+      if (connection?.current === undefined) startRequest(connection ?? { waiting: [] }, pipelined)
+      else if (connection.waiting.length < MAX_QUEUED_REQUESTS) connection.waiting.push(pipelined)
+      else connection.rejectionStatus ??= SERVICE_UNAVAILABLE
     },
     hasNext: ({ socket }) => waiting(socket) > 0,
     waiting: ({ socket }) => waiting(socket)
   }
 }
 
-function refuseRest (socket: Duplex, status: number): void {
+function rejectRemaining (socket: Duplex, status: number): void {
   if (socket.writable) socket.end(`HTTP/1.1 ${status} ${STATUS_CODES[status]}\r\nConnection: close\r\n\r\n`)
   else socket.destroy()
 }
--- a/packages/bendfall-edge/src/caller/BendfallEdgeExchange.ts
+++ b/packages/bendfall-edge/src/caller/BendfallEdgeExchange.ts
@@ -65,23 +65,23 @@
 export function createExchange (init: ExchangeInit, isStopping: () => boolean): Exchange {
   const { caller, response } = init
 
-  let endsWithConnection = false
+  let isCloseDelimited = false
   let isCut = false
 
   function writeHead (status: number, headers: IncomingHttpHeaders, bodyBytes?: number): void {
-    const isUnframed = isWithoutLength(headers)
-    if (isUnframed) leaveWithoutLength(response)
+    const isCloseDelimitedByReplica = hasCloseDelimitedFraming(headers)
+    if (isCloseDelimitedByReplica) disableFraming(response)
     else if (bodyBytes !== undefined) response.setHeader('content-length', bodyBytes)
     if (isStopping()) response.setHeader('connection', 'close')
     response.writeHead(status, toCallerHeaders(headers))
-    const hasLength = !isUnframed && (bodyBytes !== undefined || headers['content-length'] !== undefined)
+    const hasLength = !isCloseDelimitedByReplica && (bodyBytes !== undefined || headers['content-length'] !== undefined)
     // Refers to the framing towards the caller: HTTP/1.0 callers get a chunked response unchunked.
-    endsWithConnection = !hasLength && !response.chunkedEncoding
+    isCloseDelimited = !hasLength && !response.chunkedEncoding
   }
 
   function cut (): void {
     isCut = true
-    if (!endsWithConnection) response.destroy()
+    if (!isCloseDelimited) response.destroy()
     // 61 of 500 callers that received the last bytes and the reset together treated it as a graceful close.
     else setTimeout(cutNow, RESET_PAUSE_MS)
   }
@@ -89,7 +89,7 @@
   function cutNow (): void {
     isCut = true
     // A close-delimited response would look complete if its connection were closed gracefully.
-    if (endsWithConnection) response.socket?.resetAndDestroy()
+    if (isCloseDelimited) response.socket?.resetAndDestroy()
     response.destroy()
   }
 
@@ -108,7 +108,7 @@
       response.once('drain', onDrain)
       return false
     },
-    endsWithConnection: () => endsWithConnection,
+    endsWithConnection: () => isCloseDelimited,
     end: () => {
       if (isCut) return
       if (response.headersSent) response.end()
@@ -124,13 +124,13 @@
 }
 
 // Evaluates the headers as those of a response with a body; one without a body needs no length either.
-function isWithoutLength (headers: IncomingHttpHeaders): boolean {
+function hasCloseDelimitedFraming (headers: IncomingHttpHeaders): boolean {
   return framingOf('GET', OK_STATUS, headers) === 'connection'
 }
 
 // A close-delimited response is passed on as such: a length or chunked coding added by the
 // router would present a body as complete that may have been truncated.
-function leaveWithoutLength (response: ServerResponse): void {
+function disableFraming (response: ServerResponse): void {
   response.shouldKeepAlive = false
   response.useChunkedEncodingByDefault = false
 }
--- a/packages/bendfall-edge/src/caller/BendfallEdgeFingerprint.ts
+++ b/packages/bendfall-edge/src/caller/BendfallEdgeFingerprint.ts
@@ -17,7 +17,7 @@
 }
 
 /** 64 bits: among a million requests the probability of a collision is 1 in 37 million. */
-const DIGITS = 16
+const FINGERPRINT_DIGITS = 16
 
 /**
  * Computes the fingerprint of a request. The host identifies the customer. The caller is
@@ -28,5 +28,5 @@
  */
 export function fingerprintOf ({ body, headers, method, path }: FingerprintInput): string {
   const head = JSON.stringify([method, headers.host ?? '', path, headers.authorization ?? ''])
-  return createHash('sha256').update(head).update(body).digest('hex').slice(0, DIGITS)
+  return createHash('sha256').update(head).update(body).digest('hex').slice(0, FINGERPRINT_DIGITS)
 }
--- a/packages/bendfall-edge/src/caller/BendfallEdgeHeaders.ts
+++ b/packages/bendfall-edge/src/caller/BendfallEdgeHeaders.ts
@@ -6,7 +6,7 @@
 import type { IncomingHttpHeaders, OutgoingHttpHeaders } from 'node:http'
 
 /** Headers of RFC 9110, section 7.6.1, and framing headers, which are set for each connection. */
-const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
+const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   'connection', 'expect', 'keep-alive', 'proxy-authenticate', 'proxy-authorization', 'proxy-connection',
   'te', 'trailer', 'transfer-encoding', 'upgrade'
 ])
@@ -28,12 +28,12 @@
  * @returns alternating names and values of the remaining headers
  */
 export function dropConnectionHeaders (raw: readonly string[], { dropped, endToEnd }: HeaderExceptions): string[] {
-  const named = namedByConnection(raw)
+  const connectionOptions = readConnectionOptions(raw)
   const kept: string[] = []
   for (let i = 0; i + 1 < raw.length; i += 2) {
     const name = (raw[i] as string).toLowerCase()
-    const isOfConnection = CONNECTION_HEADERS.has(name) || (named.has(name) && !endToEnd.has(name))
-    if (isOfConnection || dropped.has(name)) continue
+    const isHopByHop = HOP_BY_HOP_HEADERS.has(name) || (connectionOptions.has(name) && !endToEnd.has(name))
+    if (isHopByHop || dropped.has(name)) continue
     kept.push(raw[i] as string, raw[i + 1] as string)
   }
   return kept
@@ -48,12 +48,12 @@
 export function toCallerHeaders (headers: IncomingHttpHeaders): OutgoingHttpHeaders {
   const kept: OutgoingHttpHeaders = {}
   for (const [name, value] of Object.entries(headers)) {
-    if (!CONNECTION_HEADERS.has(name)) kept[name] = value
+    if (!HOP_BY_HOP_HEADERS.has(name)) kept[name] = value
   }
   return kept
 }
 
-function namedByConnection (raw: readonly string[]): ReadonlySet<string> {
+function readConnectionOptions (raw: readonly string[]): ReadonlySet<string> {
   const names = new Set<string>()
   for (let i = 0; i + 1 < raw.length; i += 2) {
     if ((raw[i] as string).toLowerCase() !== 'connection') continue
--- a/packages/bendfall-edge/src/caller/BendfallEdgeOpenExchanges.ts
+++ b/packages/bendfall-edge/src/caller/BendfallEdgeOpenExchanges.ts
@@ -15,7 +15,7 @@
    * @param onDisconnected - called if the connection closes before the response has been sent, unless
    * `cut` or `cutNow` closed it
    */
-  readonly add: (exchange: Exchange, onLeft: () => void) => void
+  readonly add: (exchange: Exchange, onDisconnected: () => void) => void
   /** @returns number of open exchanges */
   readonly size: () => number
   /**
@@ -41,29 +41,29 @@
   const open = new Set<Exchange>()
   const ending = new Set<Exchange>()
 
-  function takeAll (): readonly Exchange[] {
-    const taken = [...open]
+  function markAllAsEnding (): readonly Exchange[] {
+    const marked = [...open]
     open.clear()
-    for (const exchange of taken) ending.add(exchange)
-    return taken
+    for (const exchange of marked) ending.add(exchange)
+    return marked
   }
 
   return {
-    add: (exchange, onLeft) => {
+    add: (exchange, onDisconnected) => {
       open.add(exchange)
       exchange.response.once('close', () => {
         ending.delete(exchange)
-        if (open.delete(exchange) && !exchange.response.writableFinished) onLeft()
+        if (open.delete(exchange) && !exchange.response.writableFinished) onDisconnected()
       })
     },
     size: () => open.size,
     cut: () => {
-      const cut = takeAll()
+      const cut = markAllAsEnding()
       for (const exchange of cut) exchange.cut()
       return cut
     },
     cutNow: () => {
-      const cut = takeAll()
+      const cut = markAllAsEnding()
       for (const exchange of ending) exchange.cutNow()
       return cut
     }
--- a/packages/bendfall-edge/src/caller/BendfallEdgeServer.ts
+++ b/packages/bendfall-edge/src/caller/BendfallEdgeServer.ts
@@ -39,7 +39,7 @@
 const IDLE_MARGIN_MS = 1_000
 
 /** Maximum request head that the parser accepts; the configured limit is checked afterwards. */
-const PARSED_HEAD_BYTES = 65_536
+const MAX_PARSED_HEAD_BYTES = 65_536
 
 /** Time for the body in addition to that for the head; bodies of several MB take this long over slow links. */
 const BODY_TIMEOUT_MS = 30_000
@@ -58,17 +58,17 @@
  * @returns the server
  */
 export function createCallerServer (options: CallerServerOptions): CallerServer {
-  const server = createServer({ maxHeaderSize: PARSED_HEAD_BYTES, connectionsCheckingInterval: 1_000 })
-  const turns = registerCallerTurns(server)
+  const server = createServer({ maxHeaderSize: MAX_PARSED_HEAD_BYTES, connectionsCheckingInterval: 1_000 })
+  const pipeline = registerCallerTurns(server)
   server.on('request', (request, response) => {
     const arrivedMs = performance.now()
     request.on('error', ignoreError)
     response.on('error', ignoreError)
     // While the body of a queued request is unread, the end of its connection goes unnoticed and
     // a replica keeps working for a caller that has disconnected. At most one body is read ahead.
-    const readAhead = turns.waiting(request) === 0 ? readBody(request, options.limits().bodyBytes) : undefined
-    const hasNext = (): boolean => turns.hasNext(request)
-    turns.take(request, response, () => take(options, { request, response, hasNext, waitedMs: performance.now() - arrivedMs, readAhead }))
+    const readAhead = pipeline.waiting(request) === 0 ? readBody(request, options.limits().bodyBytes) : undefined
+    const hasNext = (): boolean => pipeline.hasNext(request)
+    pipeline.take(request, response, () => handleRequest(options, { request, response, hasNext, queuedMs: performance.now() - arrivedMs, readAhead }))
   })
 
   function applyLimits (): void {
@@ -84,46 +84,46 @@
 
 /** A request that has reached the head of its connection's queue. */
 interface StartedRequest extends Pick<WholeRequest, 'request' | 'response' | 'hasNext'> {
-  readonly waitedMs: number
+  readonly queuedMs: number
   /** Reader of the body, if reading began while the request was queued. */
   readonly readAhead?: BodyReader
 }
 
-function take (options: CallerServerOptions, { hasNext, readAhead, request, response, waitedMs }: StartedRequest): void {
+function handleRequest (options: CallerServerOptions, { hasNext, readAhead, request, response, queuedMs }: StartedRequest): void {
   const reject = (status: number, message: string, requestId?: string): void => {
     options.onRejected(status, message, requestId)
     refuse(response, status, message, true, requestId)
   }
   const limits = options.limits()
   if (headBytes(request) > limits.headerBytes) return reject(431, 'request head too large')
-  const read = options.dialect.readRequest(request.rawHeaders)
-  if (read.isErr()) return reject(read.error.status, read.error.message)
-  const caller = withoutWait(read.value, waitedMs)
+  const decoded = options.dialect.readRequest(request.rawHeaders)
+  if (decoded.isErr()) return reject(decoded.error.status, decoded.error.message)
+  const caller = subtractQueueTime(decoded.value, queuedMs)
   if (Number(request.headers['content-length'] ?? 0) > limits.bodyBytes) return reject(413, 'request body too large', caller.requestId)
   const reader = readAhead ?? readBody(request, limits.bodyBytes)
-  reader.onWhole((body) => {
+  reader.onComplete((body) => {
     if (body === undefined) reject(413, 'request body too large', caller.requestId)
     else options.onRequest({ request, response, caller, body, hasNext })
   })
 }
 
 // The caller's deadline starts when it sends the request, not when the request leaves the queue.
-function withoutWait (caller: CallerRequest, waitedMs: number): CallerRequest {
-  return caller.deadlineMs === undefined ? caller : { ...caller, deadlineMs: caller.deadlineMs - waitedMs }
+function subtractQueueTime (caller: CallerRequest, queuedMs: number): CallerRequest {
+  return caller.deadlineMs === undefined ? caller : { ...caller, deadlineMs: caller.deadlineMs - queuedMs }
 }
 
 /** Reads a request body, starting at its creation. */
 interface BodyReader {
   /** @param listener - receives the complete body, or undefined if it is too large */
-  readonly onWhole: (listener: (body: Buffer | undefined) => void) => void
+  readonly onComplete: (listener: (body: Buffer | undefined) => void) => void
 }
 
 function readBody (request: IncomingMessage, maxBytes: number): BodyReader {
   const chunks: Buffer[] = []
   let bytes = 0
-  let isWhole = false
+  let isComplete = false
   let listener: (body: Buffer | undefined) => void = () => {}
-  const tell = (): void => listener(bytes > maxBytes ? undefined : Buffer.concat(chunks))
+  const notifyListener = (): void => listener(bytes > maxBytes ? undefined : Buffer.concat(chunks))
 
   request.on('data', (chunk: Buffer) => {
     bytes += chunk.length
@@ -131,13 +131,13 @@
   })
   // An interrupted request never emits `end`; its connection is closed in that case.
   request.once('end', () => {
-    isWhole = true
-    tell()
+    isComplete = true
+    notifyListener()
   })
   return {
-    onWhole: (taken) => {
-      listener = taken
-      if (isWhole) tell()
+    onComplete: (newListener) => {
+      listener = newListener
+      if (isComplete) notifyListener()
     }
   }
 }
--- a/packages/bendfall-edge/src/crashes/BendfallEdgeCrashReports.ts
+++ b/packages/bendfall-edge/src/crashes/BendfallEdgeCrashReports.ts
@@ -21,11 +21,11 @@
 }
 
 /** Crashes within this time are published together, since one crash that ends many requests is detected many times. */
-const GATHER_MS = 50
+const BATCH_DELAY_MS = 50
 
 /** Bounds of the backoff after failed writes. It is randomized by ±50 %, since many entries observe the same crash. */
-const FIRST_PAUSE_MS = 100
-const LONGEST_PAUSE_MS = 2_000
+const INITIAL_BACKOFF_MS = 100
+const MAX_BACKOFF_MS = 2_000
 
 /**
  * Registers the effect `publish_crashes`.
@@ -35,7 +35,7 @@
  */
 export function registerCrashReports ({ instanceId, logger, loop, port, rememberedMs }: CrashReportOptions): Teardown {
   const key = `${CRASH_PREFIX}${instanceId}`
-  const ended = new AbortController()
+  const abortController = new AbortController()
   let latest: CrashReport | undefined
   let isWriting = false
   let revision: number | undefined
@@ -45,10 +45,10 @@
     if (lease.type !== 'granted') return false
     revision ??= await readRevision()
     if (revision === undefined) return false
-    const written = await port.compareAndSwap({ key, expectedRevision: revision, value: encodeCrashReport(report), leaseId: lease.leaseId })
+    const outcome = await port.compareAndSwap({ key, expectedRevision: revision, value: encodeCrashReport(report), leaseId: lease.leaseId })
     // After a failure the next attempt first reads whether the write took effect, and its revision.
-    revision = written.type === 'applied' ? written.revision : undefined
-    return written.type === 'applied'
+    revision = outcome.type === 'applied' ? outcome.revision : undefined
+    return outcome.type === 'applied'
   }
 
   async function readRevision (): Promise<number | undefined> {
@@ -58,8 +58,8 @@
   }
 
   async function writeLatest (): Promise<void> {
-    for (let tried = 0; latest !== undefined && !ended.signal.aborted; tried += 1) {
-      await pause(loop.clock, tried === 0 ? GATHER_MS : backoffMs(FIRST_PAUSE_MS, LONGEST_PAUSE_MS, tried) * (0.5 + Math.random()), ended.signal)
+    for (let tried = 0; latest !== undefined && !abortController.signal.aborted; tried += 1) {
+      await pause(loop.clock, tried === 0 ? BATCH_DELAY_MS : backoffMs(INITIAL_BACKOFF_MS, MAX_BACKOFF_MS, tried) * (0.5 + Math.random()), abortController.signal)
       const report = latest
       if (!await write(report)) continue
       if (latest === report) latest = undefined
@@ -77,7 +77,7 @@
   }
 
   return combineTeardowns([
-    () => ended.abort(),
+    () => abortController.abort(),
     // The restored backup may lack the report or contain an older one.
     port.onEra?.(() => {
       revision = undefined
--- a/packages/bendfall-edge/src/directory/BendfallEdgeDirectory.ts
+++ b/packages/bendfall-edge/src/directory/BendfallEdgeDirectory.ts
@@ -14,7 +14,7 @@
 import { followPrefix } from './BendfallEdgeFollow.js'
 
 /** Maximum number of unreadable entries that are logged, one line each; the metric counts all. */
-const MOST_UNREADABLE_NOTED = 200
+const MAX_UNREADABLE_LOGGED = 200
 
 /** Dependencies and time limits of the directory. */
 export interface DirectoryOptions {
@@ -40,19 +40,19 @@
 }
 
 /** Key prefix of the documents that entries write. */
-const OWN_PREFIX = 'bendfall/'
+const ROUTER_DOCUMENT_PREFIX = 'bendfall/'
 
 /** Maximum time that requests wait for registrations to be re-read; the service responds in 4 ms. */
-const REFRESH_WAIT_MS = 400
+const REFRESH_TIMEOUT_MS = 400
 
 /**
  * Share of `revokedWithinMs` within which changes must be known. A response proves the state only
  * as of the time of its request, and keys must still be trusted when the next response arrives.
  */
-const KEYS_SHARE = 0.6
+const REVOCATION_BOUND_SHARE = 0.6
 
 /** Share of the time limit for changes; longer periods without a response are logged. */
-const STALE_SHARE = 0.7
+const STALENESS_WARNING_SHARE = 0.7
 
 /**
  * Starts to follow the directory and registers the effect `refresh_replicas`.
@@ -62,10 +62,10 @@
  */
 export function registerDirectory (options: DirectoryOptions): Teardown {
   const { configApplyMs, dialect, drainMs, logger, loop, metrics, onChange, onConfig, onOwnDocuments, onReplicas, port, revokedWithinMs } = options
-  const boundMs = Math.min(configApplyMs, drainMs, revokedWithinMs * KEYS_SHARE)
-  const noteStaleness = (staleMs: number): void => {
+  const boundMs = Math.min(configApplyMs, drainMs, revokedWithinMs * REVOCATION_BOUND_SHARE)
+  const recordStaleness = (staleMs: number): void => {
     metrics.measureMs('bendfall_directory_staleness_milliseconds', staleMs)
-    if (staleMs > boundMs * STALE_SHARE) logger.warn('directory_was_stale', { staleMs: Math.round(staleMs) })
+    if (staleMs > boundMs * STALENESS_WARNING_SHARE) logger.warn('directory_was_stale', { staleMs: Math.round(staleMs) })
   }
   const unreadable = new Map<string, string>()
   const onReachable = (isReachable: boolean, detail: string): void => {
@@ -75,7 +75,7 @@
 
   let isConfigReadable = true
 
-  function takeConfig (entries: readonly KeyValueEntry[]): void {
+  function handleConfig (entries: readonly KeyValueEntry[]): void {
     for (const entry of entries) {
       const config = dialect.readConfig(entry)
       isConfigReadable = config.isOk()
@@ -86,41 +86,41 @@
   }
 
   // An unreadable entry describes no replica; one previously known under its id counts as removed.
-  function takeReplicas (entries: readonly KeyValueEntry[]): void {
+  function handleReplicas (entries: readonly KeyValueEntry[]): void {
     const present: Replica[] = []
     const gone: string[] = []
     for (const entry of entries) {
       const replica = dialect.readReplica(entry)
       if (replica.isOk()) present.push(replica.value)
       else gone.push(dialect.readReplicaId(entry.key))
-      noteReadable(entry, replica.isOk() ? undefined : replica.error)
+      recordReadability(entry, replica.isOk() ? undefined : replica.error)
     }
     loop.dispatch({ type: 'replicas_changed', present, gone })
     onChange()
   }
 
   // An unreadable entry that is rewritten repeatedly with the same error is logged once.
-  function noteReadable ({ key, revision }: KeyValueEntry, detail: string | undefined): void {
+  function recordReadability ({ key, revision }: KeyValueEntry, detail: string | undefined): void {
     if (detail === undefined) {
       unreadable.delete(key)
       return
     }
     metrics.count('bendfall_registrations_unreadable_total')
-    if (unreadable.get(key) === detail || unreadable.size >= MOST_UNREADABLE_NOTED) return
+    if (unreadable.get(key) === detail || unreadable.size >= MAX_UNREADABLE_LOGGED) return
     unreadable.set(key, detail)
     logger.warn('replica_unreadable', { key, revision, detail })
   }
 
   // Reports written before an operator cleared all crashes are ignored. After a restore from an
   // older backup the service may return an earlier clear request again.
-  const cleared = new Set<string>()
+  const handledClearRequests = new Set<string>()
   let clearedRevision = -Infinity
 
-  function takeCrashes (entries: readonly KeyValueEntry[]): void {
-    const wish = entries.find(({ key }) => key === CRASHES_CLEARED_KEY)
-    if (wish !== undefined && !cleared.has(wish.value)) {
-      cleared.add(wish.value)
-      clearedRevision = wish.revision
+  function handleCrashDocuments (entries: readonly KeyValueEntry[]): void {
+    const clearRequest = entries.find(({ key }) => key === CRASHES_CLEARED_KEY)
+    if (clearRequest !== undefined && !handledClearRequests.has(clearRequest.value)) {
+      handledClearRequests.add(clearRequest.value)
+      clearedRevision = clearRequest.revision
       loop.dispatch({ type: 'crashes_cleared' })
     }
     for (const { key, revision, value } of entries) {
@@ -131,9 +131,9 @@
     }
   }
 
-  function takeMissing (replicaIds: readonly string[], returnedMs: number): void {
+  function handleMissingReplicas (replicaIds: readonly string[], sinceRecoveryMs: number): void {
     metrics.count('bendfall_registrations_missing_total')
-    logger.info('registrations_missing', { replicas: replicaIds.join(','), returnedMs: Math.round(returnedMs) })
+    logger.info('registrations_missing', { replicas: replicaIds.join(','), returnedMs: Math.round(sinceRecoveryMs) })
     loop.dispatch({ type: 'replicas_missing', replicaIds })
   }
 
@@ -151,11 +151,11 @@
       onPresent: (entries) => {
         const configs = entries.filter(({ key }) => key.startsWith(dialect.configPrefix))
         const registrations = entries.filter(({ key }) => key.startsWith(dialect.replicaPrefix))
-        takeCrashes(entries)
-        if (configs.length > 0) takeConfig(configs)
-        if (registrations.length > 0) takeReplicas(registrations)
+        handleCrashDocuments(entries)
+        if (configs.length > 0) handleConfig(configs)
+        if (registrations.length > 0) handleReplicas(registrations)
         // After the replicas, since the documents refer to them.
-        onOwnDocuments(entries.filter(({ key }) => key.startsWith(OWN_PREFIX)), [])
+        onOwnDocuments(entries.filter(({ key }) => key.startsWith(ROUTER_DOCUMENT_PREFIX)), [])
       },
       // If the configuration is deleted, the last one remains in effect.
       onGone: (keys) => {
@@ -169,10 +169,10 @@
       onMissing: (keys, returnedMs) => {
         onOwnDocuments([], keys)
         const replicaIds = replicaIdsOf(keys)
-        if (replicaIds.length > 0) takeMissing(replicaIds, returnedMs)
+        if (replicaIds.length > 0) handleMissingReplicas(replicaIds, returnedMs)
       },
       onCurrent: (staleMs, provenAtMs) => {
-        noteStaleness(staleMs)
+        recordStaleness(staleMs)
         // An unreadable configuration may have revoked keys.
         if (provenAtMs !== undefined && isConfigReadable) loop.dispatch({ type: 'config_proven', provenAtMs })
         loop.dispatch({ type: 'replicas_current' })
@@ -184,9 +184,9 @@
 
   // If the service doesn't respond in time, it is unavailable and requests proceed with the known replicas.
   async function refresh (): Promise<void> {
-    const waited = new AbortController()
-    await Promise.race([follower.refresh(), pause(loop.clock, REFRESH_WAIT_MS, waited.signal)])
-    waited.abort()
+    const timeoutController = new AbortController()
+    await Promise.race([follower.refresh(), pause(loop.clock, REFRESH_TIMEOUT_MS, timeoutController.signal)])
+    timeoutController.abort()
     loop.dispatch({ type: 'replicas_refreshed' })
   }
 
--- a/packages/bendfall-edge/src/directory/BendfallEdgeFollow.ts
+++ b/packages/bendfall-edge/src/directory/BendfallEdgeFollow.ts
@@ -26,38 +26,38 @@
 const BATCH_SHARE = 0.35
 
 /** Number of changes that are delivered immediately before batching starts; an isolated change isn't delayed. */
-const AT_ONCE = 3
+const MAX_IMMEDIATE_CHANGES = 3
 
 /** Minimum wait of a watch; a shorter one would amount to a read. */
-const SHORTEST_WAIT_MS = 50
+const MIN_WATCH_WAIT_MS = 50
 
 /** A watch whose response is later than requested by this much is treated like an outage. */
-const LATE_WATCH_MS = 500
+const LATE_WATCH_THRESHOLD_MS = 500
 
 /**
  * Interval of the periodic full reads. Revisions already show that no change was missed; in a
  * fleet of 68 entries, full reads every 8 s amounted to 17 calls per second.
  */
-const REREAD_MS = 30_000
+const FULL_READ_INTERVAL_MS = 30_000
 
 /** Bounds of the backoff after failed calls. */
-const FIRST_PAUSE_MS = 50
-const LONGEST_PAUSE_MS = 500
+const INITIAL_BACKOFF_MS = 50
+const MAX_BACKOFF_MS = 500
 
 /**
  * Time after an outage within which expired entries are written again if their owners are alive:
  * two seconds as specified by the platform, plus slack for a heartbeat.
  */
-const RETURN_MS = 2_400
+const OUTAGE_RECOVERY_MS = 2_400
 
 /**
  * Time within which entries of a restored backup expire unless their owners write them again:
  * three heartbeats, plus slack for a heartbeat.
  */
-const COPY_LASTS_MS = 4_000
+const BACKUP_EXPIRY_MS = 4_000
 
 /** Time of a request on the monotonic and the wall clock. */
-interface AskTime {
+interface RequestTime {
   readonly atMs: number
   readonly wallMs: number
 }
@@ -72,7 +72,7 @@
    * of them `onUpserted` or `onDeleted` follows within the time in which expired entries are
    * written again, or entries of the backup expire.
    */
-  readonly onMissing: (keys: readonly string[], returnedMs: number) => void
+  readonly onMissing: (keys: readonly string[], sinceRecoveryMs: number) => void
   /**
    * Called when all changes so far have been delivered; `staleMs` is the time since the previous
    * call. `provenAtMs` is the time of the request whose response proved this; nothing is known
@@ -111,157 +111,157 @@
   const watchWaitMs = boundMs * WATCH_WAIT_SHARE
   const watchSlackMs = boundMs * WATCH_SLACK_SHARE
   const batchMs = boundMs * BATCH_SHARE
-  const ended = new AbortController()
-  const known = new Set<string>()
-  let tried = 0
+  const abortController = new AbortController()
+  const knownKeys = new Set<string>()
+  let failureCount = 0
   let isReachable = true
-  let returnedAtMs = -Infinity
+  let recoveredAtMs = -Infinity
   let fullReadAtMs = -Infinity
   // Entries up to this revision come from a restored backup; their owners haven't written them since.
-  let copyRevision = -Infinity
-  let copyLastsUntilMs = -Infinity
+  let backupRevision = -Infinity
+  let backupExpiresAtMs = -Infinity
   // Time by which owners have rewritten the entries that were lost in the restore.
-  let rewrittenAtMs = -Infinity
-  let isCopyUnread = false
-  let currentAtMs = clock.nowMs()
-  let credit = AT_ONCE
+  let rewrittenByMs = -Infinity
+  let isBackupUnread = false
+  let syncedAtMs = clock.nowMs()
+  let credit = MAX_IMMEDIATE_CHANGES
   let creditAtMs = clock.nowMs()
 
-  const readClocks = (): AskTime => ({ atMs: clock.nowMs(), wallMs: clock.wallMs() })
+  const readClocks = (): RequestTime => ({ atMs: clock.nowMs(), wallMs: clock.wallMs() })
 
-  function noteCurrent (asked: AskTime): void {
-    listener.onCurrent(clock.nowMs() - currentAtMs, provenAtMs(asked))
-    currentAtMs = clock.nowMs()
+  function reportSynced (requestedAt: RequestTime): void {
+    listener.onCurrent(clock.nowMs() - syncedAtMs, provenAtMs(requestedAt))
+    syncedAtMs = clock.nowMs()
   }
 
   // Uses the larger age of both clocks, since the monotonic clock doesn't advance during a suspension.
-  function provenAtMs (asked: AskTime): number | undefined {
-    if (asked.atMs < rewrittenAtMs) return undefined
-    return clock.nowMs() - Math.max(clock.nowMs() - asked.atMs, clock.wallMs() - asked.wallMs)
+  function provenAtMs (requestedAt: RequestTime): number | undefined {
+    if (requestedAt.atMs < rewrittenByMs) return undefined
+    return clock.nowMs() - Math.max(clock.nowMs() - requestedAt.atMs, clock.wallMs() - requestedAt.wallMs)
   }
 
-  function noteFailure (detail: string): void {
-    if (ended.signal.aborted) return
-    tried += 1
+  function recordFailure (detail: string): void {
+    if (abortController.signal.aborted) return
+    failureCount += 1
     if (isReachable) listener.onReachable(false, detail)
     isReachable = false
   }
 
-  function noteAnswer (wasHeldUp: boolean): void {
-    tried = 0
-    if (!isReachable || wasHeldUp) returnedAtMs = clock.nowMs()
+  function recordSuccess (wasDelayed: boolean): void {
+    failureCount = 0
+    if (!isReachable || wasDelayed) recoveredAtMs = clock.nowMs()
     if (!isReachable) listener.onReachable(true, prefix)
     isReachable = true
   }
 
-  const isReturning = (): boolean => clock.nowMs() - returnedAtMs < RETURN_MS
+  const isRecovering = (): boolean => clock.nowMs() - recoveredAtMs < OUTAGE_RECOVERY_MS
 
-  function takePresent (entries: readonly KeyValueEntry[]): void {
-    for (const { key } of entries) known.add(key)
+  function handleUpserts (entries: readonly KeyValueEntry[]): void {
+    for (const { key } of entries) knownKeys.add(key)
     if (entries.length > 0) listener.onPresent(entries)
   }
 
-  function takeGone (keys: readonly string[]): void {
-    const gone = keys.filter((key) => known.has(key))
-    if (gone.length === 0) return
+  function handleDeletions (keys: readonly string[]): void {
+    const deleted = keys.filter((key) => knownKeys.has(key))
+    if (deleted.length === 0) return
     // Entries that expired in an outage may be written again soon, which a later full read shows.
     // The listener is notified immediately, since they may also have been deleted: when replicas
     // were replaced after a partition from the service, entries kept using the old ones for 2.2 s.
-    if (isReturning()) return listener.onMissing(gone, clock.nowMs() - returnedAtMs)
-    for (const key of gone) known.delete(key)
-    listener.onGone(gone)
+    if (isRecovering()) return listener.onMissing(deleted, clock.nowMs() - recoveredAtMs)
+    for (const key of deleted) knownKeys.delete(key)
+    listener.onGone(deleted)
   }
 
   // A restored backup lists entries of processes that have ended since until the entries expire,
   // while live owners write theirs again one by one.
-  function takeUnwritten (entries: readonly KeyValueEntry[]): void {
-    const unwritten = entries.filter(({ revision }) => revision <= copyRevision).map(({ key }) => key)
-    if (unwritten.length > 0) listener.onMissing(unwritten, clock.nowMs() - returnedAtMs)
+  function reportUnrenewed (entries: readonly KeyValueEntry[]): void {
+    const unrenewed = entries.filter(({ revision }) => revision <= backupRevision).map(({ key }) => key)
+    if (unrenewed.length > 0) listener.onMissing(unrenewed, clock.nowMs() - recoveredAtMs)
   }
 
   // An owner may have written its entry again before this process first read the restored backup,
   // and not since. An entry that outlasts the expiry of the backup is renewed by its owner.
-  function noteCopy (storeRevision: number): void {
-    if (isCopyUnread) copyRevision = storeRevision
-    isCopyUnread = false
-    if (clock.nowMs() >= copyLastsUntilMs) copyRevision = -Infinity
+  function updateBackupRevision (storeRevision: number): void {
+    if (isBackupUnread) backupRevision = storeRevision
+    isBackupUnread = false
+    if (clock.nowMs() >= backupExpiresAtMs) backupRevision = -Infinity
   }
 
   async function readAll (): Promise<number | undefined> {
-    const asked = readClocks()
+    const requestedAt = readClocks()
     const outcome = await port.list(prefix)
     if (outcome.type === 'unavailable') {
-      noteFailure(outcome.detail)
+      recordFailure(outcome.detail)
       return undefined
     }
-    noteAnswer(false)
+    recordSuccess(false)
     const present = new Set(outcome.entries.map(({ key }) => key))
-    takePresent(outcome.entries)
-    takeGone([...known].filter((key) => !present.has(key)))
-    noteCopy(outcome.storeRevision)
-    takeUnwritten(outcome.entries)
-    noteCurrent(asked)
+    handleUpserts(outcome.entries)
+    handleDeletions([...knownKeys].filter((key) => !present.has(key)))
+    updateBackupRevision(outcome.storeRevision)
+    reportUnrenewed(outcome.entries)
+    reportSynced(requestedAt)
     fullReadAtMs = clock.nowMs()
     return outcome.storeRevision
   }
 
   // A full read is due periodically, once after expired entries could be written again, and once after a
   // restored backup has expired.
-  function readDueInMs (): number {
-    const onceAtMs = [returnedAtMs + RETURN_MS, copyLastsUntilMs].filter((atMs) => fullReadAtMs < atMs)
-    return Math.min(fullReadAtMs + REREAD_MS, ...onceAtMs) - clock.nowMs()
+  function nextFullReadInMs (): number {
+    const onceAtMs = [recoveredAtMs + OUTAGE_RECOVERY_MS, backupExpiresAtMs].filter((atMs) => fullReadAtMs < atMs)
+    return Math.min(fullReadAtMs + FULL_READ_INTERVAL_MS, ...onceAtMs) - clock.nowMs()
   }
 
   // Returns the time to wait before the next watch after a change.
   function spendCredit (): number {
-    credit = Math.min(AT_ONCE, credit + (clock.nowMs() - creditAtMs) / batchMs) - 1
+    credit = Math.min(MAX_IMMEDIATE_CHANGES, credit + (clock.nowMs() - creditAtMs) / batchMs) - 1
     creditAtMs = clock.nowMs()
     return Math.max(0, -credit * batchMs)
   }
 
-  async function watchFrom (first: number): Promise<void> {
-    for (let revision = first; !ended.signal.aborted && readDueInMs() > 0;) {
-      const asked = readClocks()
+  async function watchFrom (initialRevision: number): Promise<void> {
+    for (let revision = initialRevision; !abortController.signal.aborted && nextFullReadInMs() > 0;) {
+      const requestedAt = readClocks()
       // Measured from the last response, so that a pause before the watch doesn't extend the total time.
-      const leftMs = currentAtMs + watchWaitMs - asked.atMs
-      const waitMs = Math.ceil(Math.max(SHORTEST_WAIT_MS, Math.min(leftMs, readDueInMs())))
+      const remainingMs = syncedAtMs + watchWaitMs - requestedAt.atMs
+      const waitMs = Math.ceil(Math.max(MIN_WATCH_WAIT_MS, Math.min(remainingMs, nextFullReadInMs())))
       const outcome = await port.watch(prefix, revision, waitMs, watchSlackMs)
-      if (outcome.type === 'unavailable') return noteFailure(outcome.detail)
+      if (outcome.type === 'unavailable') return recordFailure(outcome.detail)
       if (outcome.type === 'history_lost') return
-      noteAnswer(clock.nowMs() - asked.atMs > waitMs + LATE_WATCH_MS)
+      recordSuccess(clock.nowMs() - requestedAt.atMs > waitMs + LATE_WATCH_THRESHOLD_MS)
       revision = outcome.storeRevision
       if (outcome.type === 'changed') {
-        takePresent(outcome.entries)
-        takeGone(outcome.deletedKeys)
+        handleUpserts(outcome.entries)
+        handleDeletions(outcome.deletedKeys)
       }
-      noteCurrent(asked)
-      const pauseMs = outcome.type === 'changed' ? Math.min(spendCredit(), readDueInMs()) : 0
-      if (pauseMs > 0) await pause(clock, pauseMs, ended.signal)
+      reportSynced(requestedAt)
+      const pauseMs = outcome.type === 'changed' ? Math.min(spendCredit(), nextFullReadInMs()) : 0
+      if (pauseMs > 0) await pause(clock, pauseMs, abortController.signal)
     }
   }
 
   // The restored backup is older than the known state, and owners write their entries again within
   // the same time as after an outage. Unlike then, a full read follows immediately.
   const stopListening = port.onEra?.(() => {
-    returnedAtMs = clock.nowMs()
+    recoveredAtMs = clock.nowMs()
     fullReadAtMs = -Infinity
-    copyLastsUntilMs = clock.nowMs() + COPY_LASTS_MS
-    rewrittenAtMs = clock.nowMs() + RETURN_MS
-    isCopyUnread = true
+    backupExpiresAtMs = clock.nowMs() + BACKUP_EXPIRY_MS
+    rewrittenByMs = clock.nowMs() + OUTAGE_RECOVERY_MS
+    isBackupUnread = true
   })
 
   async function run (): Promise<void> {
-    while (!ended.signal.aborted) {
+    while (!abortController.signal.aborted) {
       const revision = await readAll()
       if (revision !== undefined) await watchFrom(revision)
-      if (!isReachable) await pause(clock, backoffMs(FIRST_PAUSE_MS, LONGEST_PAUSE_MS, Math.min(tried, 10)), ended.signal)
+      if (!isReachable) await pause(clock, backoffMs(INITIAL_BACKOFF_MS, MAX_BACKOFF_MS, Math.min(failureCount, 10)), abortController.signal)
     }
   }
 
   run().catch((error: unknown) => { throw error })
   return {
     close: () => {
-      ended.abort()
+      abortController.abort()
       stopListening?.()
     },
     refresh: async () => { await readAll() }
--- a/packages/bendfall-edge/src/replica/BendfallEdgeAnswerIdentity.ts
+++ b/packages/bendfall-edge/src/replica/BendfallEdgeAnswerIdentity.ts
@@ -33,7 +33,7 @@
 const START_LINE = /HTTP\/1\.[01] \d{3}/
 
 /** The response belongs to another request, or to an unknown one. */
-class ForeignAnswerError extends Error {
+class MismatchedResponseError extends Error {
   override readonly name = 'MismatchedResponseError'
 }
 
@@ -54,11 +54,11 @@
     ...listener,
     onHead: (status, headers, startLine) => {
       const head = dialect.readAnswerHead(status, headers)
-      const foreign = isJoined(headers, startLine) ? 'heads of two answers in one' : describeForeign(requestId, head)
-      if (foreign === undefined) return listener.onHead(status, headers, head)
+      const mismatch = hasSecondStartLine(headers, startLine) ? 'heads of two answers in one' : describeMismatch(requestId, head)
+      if (mismatch === undefined) return listener.onHead(status, headers, head)
       call.abort()
-      onGarbled(requestId, foreign)
-      listener.onFail(new ForeignAnswerError(foreign), true)
+      onGarbled(requestId, mismatch)
+      listener.onFail(new MismatchedResponseError(mismatch), true)
     }
   })
   return call
@@ -67,12 +67,12 @@
 // A duplicate response that is truncated within its head is continued by the next response, which
 // combines the status of one with the id of the other. The second start line then appears within
 // the first one or within a header value.
-function isJoined (headers: IncomingHttpHeaders, startLine: string): boolean {
+function hasSecondStartLine (headers: IncomingHttpHeaders, startLine: string): boolean {
   if (START_LINE.test(startLine.slice(1))) return true
   return Object.values(headers).flat().some((value) => value !== undefined && START_LINE.test(value))
 }
 
-function describeForeign (requestId: string, head: AnswerHead): string | undefined {
+function describeMismatch (requestId: string, head: AnswerHead): string | undefined {
   if (head.requestId === undefined) return 'answer without a request id'
   return head.requestId === requestId ? undefined : `answer to another request: ${head.requestId}`
 }
--- a/packages/bendfall-edge/src/replica/BendfallEdgeCallFailure.ts
+++ b/packages/bendfall-edge/src/replica/BendfallEdgeCallFailure.ts
@@ -7,7 +7,7 @@
 import { ConnectionResetError } from './BendfallEdgeReplicaSocket.js'
 
 /** Error codes of the HTTP client and the system that indicate a lost connection. */
-const LOST_CODES: ReadonlySet<string | undefined> = new Set(['UND_ERR_SOCKET', 'ECONNRESET', 'EPIPE'])
+const CONNECTION_LOST_CODES: ReadonlySet<string | undefined> = new Set(['UND_ERR_SOCKET', 'ECONNRESET', 'EPIPE'])
 
 /**
  * Classifies the error of a call.
@@ -18,6 +18,6 @@
  */
 export function failureOf (error: Error, isSent: boolean): SendFailure {
   if (!isSent) return 'not_sent'
-  const isLost = error instanceof ConnectionResetError || LOST_CODES.has((error as NodeJS.ErrnoException).code)
+  const isLost = error instanceof ConnectionResetError || CONNECTION_LOST_CODES.has((error as NodeJS.ErrnoException).code)
   return isLost ? 'connection_lost' : 'unknown'
 }
--- a/packages/bendfall-edge/src/replica/BendfallEdgeConnections.ts
+++ b/packages/bendfall-edge/src/replica/BendfallEdgeConnections.ts
@@ -11,19 +11,19 @@
 import type { ConnectCallback, ReplicaSocket } from './BendfallEdgeReplicaSocket.js'
 
 /** Idle time after which a connection is closed if the replica doesn't specify one. */
-const IDLE_CLOSE_MS = 8_000
+const DEFAULT_IDLE_TIMEOUT_MS = 8_000
 
 /** Maximum idle time that a replica may specify. */
-const LONGEST_IDLE_MS = 60_000
+const MAX_IDLE_TIMEOUT_MS = 60_000
 
 /** Port of an address without a port. */
-const HTTP_PORT = 80
+const DEFAULT_HTTP_PORT = 80
 
 /** Maximum size of a response head. */
 const MAX_HEAD_BYTES = 32_768
 
 /** Maximum number of requests per connection, since it stores their ids of about 100 bytes each. */
-const MOST_REQUESTS = 256
+const MAX_REQUESTS_PER_CONNECTION = 256
 
 /** A connection that carries one request at a time. */
 export interface Connection {
@@ -77,20 +77,20 @@
  */
 export function createConnectionPool (address: string, onConnect: () => void): ConnectionPool {
   const idle: IdleConnection[] = []
-  const all = new Set<Client>()
+  const allClients = new Set<Client>()
 
-  function open (requestIds?: Set<string>): Connection {
+  function openConnection (requestIds?: Set<string>): Connection {
     let socket: ReplicaSocket | undefined
     let end: ConnectionEnd | undefined
-    let tellEnding = (): void => {}
-    const onEnd = (ended: ConnectionEnd): void => {
-      end = ended
-      tellEnding()
+    let notifyBeforeEnd = (): void => {}
+    const onEnd = (connectionEnd: ConnectionEnd): void => {
+      end = connectionEnd
+      notifyBeforeEnd()
     }
     const client = new Client(`http://${address}`, {
       connect: ({ hostname, port }, callback) => {
         end = undefined
-        connectReplica({ host: hostname, port: Number(port === '' ? HTTP_PORT : port), onEnd }, (...result) => {
+        connectReplica({ host: hostname, port: Number(port === '' ? DEFAULT_HTTP_PORT : port), onEnd }, (...result) => {
           if (result[0] === null) {
             socket = result[1]
             onConnect()
@@ -101,52 +101,52 @@
       pipelining: 1,
       headersTimeout: 0,
       bodyTimeout: 0,
-      keepAliveTimeout: IDLE_CLOSE_MS,
-      keepAliveMaxTimeout: LONGEST_IDLE_MS,
+      keepAliveTimeout: DEFAULT_IDLE_TIMEOUT_MS,
+      keepAliveMaxTimeout: MAX_IDLE_TIMEOUT_MS,
       maxHeaderSize: MAX_HEAD_BYTES
     })
-    all.add(client)
-    return { client, end: () => end, onEnding: (listener) => { tellEnding = listener }, requestIds, bytesRead: () => socket?.bytesRead ?? 0, awaitAnswer: () => socket?.awaitAnswer(), startLine: () => socket?.startLine() ?? '' }
+    allClients.add(client)
+    return { client, end: () => end, onEnding: (listener) => { notifyBeforeEnd = listener }, requestIds, bytesRead: () => socket?.bytesRead ?? 0, awaitAnswer: () => socket?.awaitAnswer(), startLine: () => socket?.startLine() ?? '' }
   }
 
-  function takeIdle (requestId: string): Connection | undefined {
+  function acquireIdle (requestId: string): Connection | undefined {
     for (let index = idle.length - 1; index >= 0; index--) {
       const { bytesRead, connection } = idle[index] as IdleConnection
       if (connection.requestIds?.has(requestId) === true) continue
       idle.splice(index, 1)
       if (connection.client.stats.connected && connection.bytesRead() === bytesRead) return connection
-      drop(connection)
+      discard(connection)
     }
     return undefined
   }
 
   function take (requestId?: string): Connection {
-    if (requestId === undefined) return open()
-    const connection = takeIdle(requestId) ?? open(new Set())
+    if (requestId === undefined) return openConnection()
+    const connection = acquireIdle(requestId) ?? openConnection(new Set())
     connection.requestIds?.add(requestId)
     connection.awaitAnswer()
     return connection
   }
 
-  function mayBeUsedAgain ({ client, requestIds }: Connection): boolean {
-    return requestIds !== undefined && requestIds.size < MOST_REQUESTS && !client.destroyed && client.stats.connected
+  function isReusable ({ client, requestIds }: Connection): boolean {
+    return requestIds !== undefined && requestIds.size < MAX_REQUESTS_PER_CONNECTION && !client.destroyed && client.stats.connected
   }
 
-  function drop ({ client }: Connection): void {
-    all.delete(client)
+  function discard ({ client }: Connection): void {
+    allClients.delete(client)
     client.destroy().catch(ignoreError)
   }
 
   return {
     take,
     giveBack: (connection) => {
-      if (mayBeUsedAgain(connection)) idle.push({ connection, bytesRead: connection.bytesRead() })
-      else drop(connection)
+      if (isReusable(connection)) idle.push({ connection, bytesRead: connection.bytesRead() })
+      else discard(connection)
     },
-    closeIdle: () => { for (const { connection } of idle.splice(0)) drop(connection) },
+    closeIdle: () => { for (const { connection } of idle.splice(0)) discard(connection) },
     destroy: () => {
-      for (const client of all) client.destroy().catch(ignoreError)
-      all.clear()
+      for (const client of allClients) client.destroy().catch(ignoreError)
+      allClients.clear()
       idle.length = 0
     }
   }
--- a/packages/bendfall-edge/src/replica/BendfallEdgeEventSplitter.ts
+++ b/packages/bendfall-edge/src/replica/BendfallEdgeEventSplitter.ts
@@ -35,23 +35,23 @@
  * @returns the splitter
  */
 export function createEventSplitter (): EventSplitter {
-  let rest: Buffer = Buffer.alloc(0)
+  let remainder: Buffer = Buffer.alloc(0)
   let lastEventId: string | undefined
   let count = 0
 
   function take (chunk: Buffer): WholeEvents {
-    const text = rest.length === 0 ? chunk : Buffer.concat([rest, chunk])
+    const text = remainder.length === 0 ? chunk : Buffer.concat([remainder, chunk])
     let end = 0
     for (let at = findEventEnd(text, 0); at > 0; at = findEventEnd(text, end)) {
-      lastEventId = readId(text.subarray(end, at)) ?? lastEventId
+      lastEventId = readEventId(text.subarray(end, at)) ?? lastEventId
       count += 1
       end = at
     }
-    rest = Buffer.from(text.subarray(end))
+    remainder = Buffer.from(text.subarray(end))
     return { bytes: text.subarray(0, end), lastEventId, count }
   }
 
-  return { take, tail: () => rest, isWithinEvent: () => hasText(rest) }
+  return { take, tail: () => remainder, isWithinEvent: () => hasText(remainder) }
 }
 
 // Returns the end of the next event, or -1. An event ends with an empty line, and lines end with LF,
@@ -77,7 +77,7 @@
   return bytes.some((byte) => !isLineBreak(byte))
 }
 
-function readId (event: Buffer): string | undefined {
+function readEventId (event: Buffer): string | undefined {
   const lines = event.toString('utf8').split(/\r\n|\r|\n/)
   return lines.map((line) => ID_LINE.exec(line)?.[1]).filter((id) => id !== undefined).at(-1)
 }
--- a/packages/bendfall-edge/src/replica/BendfallEdgeHolds.ts
+++ b/packages/bendfall-edge/src/replica/BendfallEdgeHolds.ts
@@ -30,7 +30,7 @@
 export function registerHolds (options: HoldOptions): Teardown {
   const { dialect, loop, poolOf } = options
 
-  function take (effect: RouterEffectOf<'take_hold'>): void {
+  function takeHold (effect: RouterEffectOf<'take_hold'>): void {
     const sentAtMs = loop.clock.nowMs()
     startOwnCall(poolOf(effect.address), dialect.takeHold(effect), { clock: loop.clock, timeoutMs: effect.timeoutMs }, (answer) => {
       if (answer.type === 'answered') tellOwnNotice(options, { replicaId: effect.replicaId, sentAtMs }, answer)
@@ -40,7 +40,7 @@
   }
 
   return combineTeardowns([
-    loop.registerEffect('take_hold', take),
+    loop.registerEffect('take_hold', takeHold),
     loop.registerEffect('drop_hold', ({ address, holdId }) => startIgnoredCall(poolOf(address), dialect.dropHold(holdId), loop.clock))
   ])
 }
--- a/packages/bendfall-edge/src/replica/BendfallEdgeNotices.ts
+++ b/packages/bendfall-edge/src/replica/BendfallEdgeNotices.ts
@@ -31,11 +31,11 @@
  * @param head - decoded head of the response
  */
 export function tellNotice ({ hasLimit, loop }: Pick<NoticeOptions, 'hasLimit' | 'loop'>, { replicaId, sentAtMs }: NoticedCall, { isWrongReplica, notice }: AnswerHead): void {
-  if (isWrongReplica || !(saysAnything(notice) || hasLimit(replicaId))) return
+  if (isWrongReplica || !(hasContent(notice) || hasLimit(replicaId))) return
   loop.dispatch({ type: 'replica_spoke', replicaId, notice, sentAtMs })
 }
 
-function saysAnything ({ backoffMs, isLeaving, limit, undecoded }: ReplicaNotice): boolean {
+function hasContent ({ backoffMs, isLeaving, limit, undecoded }: ReplicaNotice): boolean {
   return isLeaving || backoffMs !== undefined || undecoded !== undefined || (limit !== undefined && limit.type !== 'none')
 }
 
--- a/packages/bendfall-edge/src/replica/BendfallEdgeOwnCall.ts
+++ b/packages/bendfall-edge/src/replica/BendfallEdgeOwnCall.ts
@@ -11,10 +11,10 @@
 import type { ReplicaCallRequest } from './BendfallEdgeReplicaCall.js'
 
 /** Default size limit of responses; those to holds and orders have a few hundred bytes. */
-const ANSWER_BYTES = 4_096
+const DEFAULT_MAX_RESPONSE_BYTES = 4_096
 
 /** Timeout of best-effort calls, the same as for orders; it ensures that the connection is closed. */
-const IGNORED_TIMEOUT_MS = 1_000
+const BEST_EFFORT_TIMEOUT_MS = 1_000
 
 /** Outcome of a control call. */
 export type OwnCallOutcome =
@@ -41,7 +41,7 @@
  * @param onOutcome - called once with the outcome
  */
 export function startOwnCall (pool: ConnectionPool, request: ReplicaCallRequest, options: OwnCallOptions, onOutcome: (outcome: OwnCallOutcome) => void): void {
-  const { clock, maxBytes = ANSWER_BYTES, timeoutMs } = options
+  const { clock, maxBytes = DEFAULT_MAX_RESPONSE_BYTES, timeoutMs } = options
   const chunks: Buffer[] = []
   let bytes = 0
   let status = 0
@@ -50,9 +50,9 @@
   let cancel: Teardown = () => {}
 
   const call = startReplicaCall(pool, request, {
-    onHead: (answeredStatus, answeredHeaders) => {
-      status = answeredStatus
-      headers = answeredHeaders
+    onHead: (responseStatus, responseHeaders) => {
+      status = responseStatus
+      headers = responseHeaders
     },
     onChunk: (chunk) => {
       bytes += chunk.length
@@ -84,5 +84,5 @@
  * @param clock - clock for the timeout
  */
 export function startIgnoredCall (pool: ConnectionPool, call: Pick<ReplicaCallRequest, 'method' | 'path'>, clock: Clock): void {
-  startOwnCall(pool, { ...call, headers: [] }, { clock, timeoutMs: IGNORED_TIMEOUT_MS }, () => {})
+  startOwnCall(pool, { ...call, headers: [] }, { clock, timeoutMs: BEST_EFFORT_TIMEOUT_MS }, () => {})
 }
--- a/packages/bendfall-edge/src/replica/BendfallEdgePrefillListener.ts
+++ b/packages/bendfall-edge/src/replica/BendfallEdgePrefillListener.ts
@@ -9,7 +9,7 @@
 import type { IdentifiedListener } from './BendfallEdgeAnswerIdentity.js'
 
 /** Size limit of a prefill response. */
-const PREFILL_ANSWER_BYTES = 65_536
+const MAX_PREFILL_RESPONSE_BYTES = 65_536
 
 /**
  * Creates the listener of a prefill call.
@@ -24,13 +24,13 @@
   let status = 0
   let head: AnswerHead | undefined
   return {
-    onHead: (answered, _, answeredHead) => {
-      status = answered
-      head = answeredHead
+    onHead: (responseStatus, _, responseHead) => {
+      status = responseStatus
+      head = responseHead
     },
     onChunk: (chunk) => {
       bytes += chunk.length
-      if (bytes <= PREFILL_ANSWER_BYTES) chunks.push(chunk)
+      if (bytes <= MAX_PREFILL_RESPONSE_BYTES) chunks.push(chunk)
     },
     onEnd: () => {
       if (status === 200) {
--- a/packages/bendfall-edge/src/replica/BendfallEdgeReplicaCall.ts
+++ b/packages/bendfall-edge/src/replica/BendfallEdgeReplicaCall.ts
@@ -43,7 +43,7 @@
   readonly resume: () => void
 }
 
-const FIRST_FINAL_STATUS = 200
+const MIN_FINAL_STATUS = 200
 
 /**
  * Starts a call.
@@ -79,7 +79,7 @@
       if (isOver) started.abort(new Error('call aborted'))
     },
     onResponseStart: (_, status, headers) => {
-      if (isOver || status < FIRST_FINAL_STATUS) return
+      if (isOver || status < MIN_FINAL_STATUS) return
       framing = framingOf(request.method, status, headers)
       listener.onHead(status, headers, connection.startLine())
     },
--- a/packages/bendfall-edge/src/replica/BendfallEdgeReplicaPools.ts
+++ b/packages/bendfall-edge/src/replica/BendfallEdgeReplicaPools.ts
@@ -25,11 +25,11 @@
   const pools = new Map<string, ConnectionPool>()
   return {
     at: (address) => {
-      const known = pools.get(address)
-      if (known !== undefined) return known
-      const made = createConnectionPool(address, onConnect)
-      pools.set(address, made)
-      return made
+      const existing = pools.get(address)
+      if (existing !== undefined) return existing
+      const created = createConnectionPool(address, onConnect)
+      pools.set(address, created)
+      return created
     },
     keepOnly: (addresses) => {
       for (const [address, pool] of pools) {
--- a/packages/bendfall-edge/src/replica/BendfallEdgeReplicaSocket.ts
+++ b/packages/bendfall-edge/src/replica/BendfallEdgeReplicaSocket.ts
@@ -17,7 +17,7 @@
 export const CONNECT_TIMEOUT_MS = 400
 
 /** Idle time of a connection before the first TCP keep-alive probe. */
-const PROBE_AFTER_MS = 1_000
+const KEEP_ALIVE_DELAY_MS = 1_000
 
 /** Reads ahead 64 KiB, the maximum size of a single read. */
 const SOCKET_OPTIONS: DuplexOptions & SocketConstructorOpts = { highWaterMark: 65_536 }
@@ -44,7 +44,7 @@
 export type ConnectCallback = (...result: readonly [null, ReplicaSocket] | readonly [Error, null]) => void
 
 /** Maximum part of the start line (status and reason phrase) that is recorded. */
-const START_LINE_BYTES = 256
+const MAX_START_LINE_BYTES = 256
 
 const LINE_FEED = 0x0a
 
@@ -65,14 +65,14 @@
   }
 
   override push (chunk: unknown, encoding?: BufferEncoding): boolean {
-    if (!this.#isStartLineRead && Buffer.isBuffer(chunk)) this.#keepStartLine(chunk)
+    if (!this.#isStartLineRead && Buffer.isBuffer(chunk)) this.#recordStartLine(chunk)
     return super.push(chunk, encoding)
   }
 
-  #keepStartLine (chunk: Buffer): void {
+  #recordStartLine (chunk: Buffer): void {
     const end = chunk.indexOf(LINE_FEED)
-    this.#startLine.push(Buffer.from(chunk.subarray(0, end === -1 ? START_LINE_BYTES : Math.min(end, START_LINE_BYTES))))
-    this.#isStartLineRead = end !== -1 || this.#startLine.length >= START_LINE_BYTES
+    this.#startLine.push(Buffer.from(chunk.subarray(0, end === -1 ? MAX_START_LINE_BYTES : Math.min(end, MAX_START_LINE_BYTES))))
+    this.#isStartLineRead = end !== -1 || this.#startLine.length >= MAX_START_LINE_BYTES
   }
 
   // Replaces the system's reset error: on its code the HTTP client would treat the data received so
@@ -101,7 +101,7 @@
     callback(error, null)
   }
   socket.setNoDelay(true)
-  socket.setKeepAlive(true, PROBE_AFTER_MS)
+  socket.setKeepAlive(true, KEEP_ALIVE_DELAY_MS)
   socket.once('end', () => onEnd(connectionEndOf(socket)))
   socket.once('error', onFailed)
   socket.connect({ host, port }, () => {
--- a/packages/bendfall-edge/src/replica/BendfallEdgeRunListener.ts
+++ b/packages/bendfall-edge/src/replica/BendfallEdgeRunListener.ts
@@ -15,7 +15,7 @@
 import { createEventSplitter } from './BendfallEdgeEventSplitter.js'
 
 /** Responses up to this size are buffered before they are sent to the caller, so that a failed one can be retried. */
-const HELD_ANSWER_BYTES = 262_144
+const MAX_BUFFERED_RESPONSE_BYTES = 262_144
 
 /** Response with neither a length nor chunked coding. */
 export interface UnframedAnswer {
@@ -55,9 +55,9 @@
 export function createRunListener (options: RunOptions, effect: RouterEffectOf<'send_run'>, exchange: Exchange): IdentifiedListener {
   const listener = new RunListener(options, effect, exchange)
   return {
-    onHead: (status, headers, head) => listener.takeHead(status, headers, head),
-    onChunk: (chunk) => listener.takeChunk(chunk),
-    onEnd: (framing) => listener.takeEnd(framing),
+    onHead: (status, headers, head) => listener.handleHead(status, headers, head),
+    onChunk: (chunk) => listener.handleChunk(chunk),
+    onEnd: (framing) => listener.handleEnd(framing),
     onFail: (error, isSent) => listener.fail(failureOf(error, isSent))
   }
 }
@@ -65,7 +65,7 @@
 class RunListener {
   private readonly splitter = createEventSplitter()
   private readonly chunks: Buffer[] = []
-  private heldBytes = 0
+  private bufferedBytes = 0
   private bodyBytes = 0
   private status = 0
   private headers: IncomingHttpHeaders = {}
@@ -73,20 +73,20 @@
   private lastEventId: string | undefined
   private outputEvents = 0
   private isOver = false
-  private relayedAtMs: number | undefined
+  private lastRelayedAtMs: number | undefined
   private longestGapMs = 0
 
   constructor (private readonly options: RunOptions, private readonly effect: RouterEffectOf<'send_run'>, private readonly exchange: Exchange) {}
 
-  takeHead (status: number, headers: IncomingHttpHeaders, head: AnswerHead): void {
+  handleHead (status: number, headers: IncomingHttpHeaders, head: AnswerHead): void {
     this.status = status
     this.headers = headers
-    this.judge(head)
+    this.checkHead(head)
     // The body would be written into the event stream that it was supposed to resume.
-    if (this.hasBegun() && !this.isEventStream()) this.fail('unknown')
+    if (this.hasResponseStarted() && !this.isEventStream()) this.fail('unknown')
   }
 
-  takeChunk (chunk: Buffer): void {
+  handleChunk (chunk: Buffer): void {
     if (this.isOver) return
     this.bodyBytes += chunk.length
     if (this.isEventStream()) this.relayEvents(chunk)
@@ -94,17 +94,17 @@
     else this.hold(chunk)
   }
 
-  takeEnd (framing: AnswerFraming): void {
+  handleEnd (framing: AnswerFraming): void {
     if (this.isOver) return
-    if (this.isBrokenOff(framing)) return this.breakOff()
+    if (this.isTruncated(framing)) return this.failTruncated()
     this.isOver = true
     // Bytes after the last empty line are part of the replica's response, too.
     this.relay(this.splitter.tail())
-    if (framing === 'connection') this.tellUnframed()
+    if (framing === 'connection') this.reportCloseDelimited()
     const send = this.options.send()
     send?.cancelTimeout()
     // A run that resumes an interrupted response may have nothing left to send.
-    if (!this.hasBegun() && send !== undefined) send.held = { status: this.status, headers: this.headers, body: Buffer.concat(this.chunks) }
+    if (!this.hasResponseStarted() && send !== undefined) send.held = { status: this.status, headers: this.headers, body: Buffer.concat(this.chunks) }
     const { attempt, key } = this.effect
     this.options.loop.dispatch({ type: 'answer_complete', key, attempt, status: this.status, outputEvents: this.outputEvents, longestGapMs: Math.round(this.longestGapMs) })
   }
@@ -119,19 +119,19 @@
     this.options.loop.dispatch({ type: 'run_failed', key, attempt, failure, lastEventId: this.lastEventId })
   }
 
-  private judge (head: AnswerHead): void {
+  private checkHead (head: AnswerHead): void {
     if (head.isWrongReplica) return this.fail('wrong_replica')
     if (head.isNotRun) return this.fail('not_run')
-    const garbled = describeUnvouched(this.status, head)
-    if (garbled === undefined) return
-    this.options.onGarbled(this.exchange.caller.requestId, garbled)
+    const violation = describeUnverified(this.status, head)
+    if (violation === undefined) return
+    this.options.onGarbled(this.exchange.caller.requestId, violation)
     this.fail('unknown')
   }
 
   private startRelay (): void {
     this.isRelaying = true
     this.options.send()?.cancelTimeout()
-    this.exchange.start(this.status, this.isEventStream() ? withoutLength(this.headers) : this.headers)
+    this.exchange.start(this.status, this.isEventStream() ? removeContentLength(this.headers) : this.headers)
     const { attempt, key } = this.effect
     this.options.loop.dispatch({ type: 'answer_started', key, attempt })
   }
@@ -148,15 +148,15 @@
     this.lastEventId = events.lastEventId ?? this.lastEventId
     this.outputEvents = events.count
     const nowMs = this.options.loop.clock.nowMs()
-    if (this.relayedAtMs !== undefined) this.longestGapMs = Math.max(this.longestGapMs, nowMs - this.relayedAtMs)
-    this.relayedAtMs = nowMs
+    if (this.lastRelayedAtMs !== undefined) this.longestGapMs = Math.max(this.longestGapMs, nowMs - this.lastRelayedAtMs)
+    this.lastRelayedAtMs = nowMs
     this.relay(events.bytes)
   }
 
   private hold (chunk: Buffer): void {
     this.chunks.push(chunk)
-    this.heldBytes += chunk.length
-    if (this.heldBytes <= HELD_ANSWER_BYTES) return
+    this.bufferedBytes += chunk.length
+    if (this.bufferedBytes <= MAX_BUFFERED_RESPONSE_BYTES) return
     this.relay(Buffer.concat(this.chunks))
     this.chunks.length = 0
   }
@@ -165,22 +165,22 @@
   // since the kernel closes the connections of a terminated replica the same way. After a complete
   // event truncation can't be detected. Within an event, or before the first one, the response is
   // incomplete, and a last chunk added by the router would make it look complete.
-  private isBrokenOff (framing: AnswerFraming): boolean {
+  private isTruncated (framing: AnswerFraming): boolean {
     if (!this.isEventStream() || framing !== 'connection') return false
-    if (this.hasBegun() && !this.exchange.endsWithConnection()) return true
+    if (this.hasResponseStarted() && !this.exchange.endsWithConnection()) return true
     return this.splitter.isWithinEvent() || (this.outputEvents === 0 && this.effect.lastEventId === undefined)
   }
 
-  private breakOff (): void {
+  private failTruncated (): void {
     this.options.onGarbled(this.exchange.caller.requestId, `stream broken off ${this.splitter.tail().length} bytes behind its last whole event`)
     this.fail('connection_lost')
   }
 
-  private tellUnframed (): void {
+  private reportCloseDelimited (): void {
     this.options.onEndedWithConnection({ requestId: this.exchange.caller.requestId, address: this.effect.address, status: this.status, bodyBytes: this.bodyBytes })
   }
 
-  private hasBegun (): boolean {
+  private hasResponseStarted (): boolean {
     return this.exchange.response.headersSent
   }
 
@@ -190,12 +190,12 @@
 }
 
 // Another replica may resume this stream, so its total length is unknown.
-function withoutLength ({ 'content-length': length, ...headers }: IncomingHttpHeaders): IncomingHttpHeaders {
+function removeContentLength ({ 'content-length': length, ...headers }: IncomingHttpHeaders): IncomingHttpHeaders {
   return length === undefined ? headers : { ...headers, 'transfer-encoding': 'chunked' }
 }
 
 // A response that was not demonstrably produced by a replica must not reach the caller.
-function describeUnvouched (status: number, head: AnswerHead): string | undefined {
+function describeUnverified (status: number, head: AnswerHead): string | undefined {
   if (status < 300 && !head.isSigned) return 'answer without a signature'
   // These statuses imply that the request was not executed, which only the replica can know.
   if (status === 408 || status === 429 || status === 503) return `status ${status} that does not say whether the request ran`
