--- a/packages/bendfall-edge/src/caller/BendfallEdgeFingerprint.ts
+++ b/packages/bendfall-edge/src/caller/BendfallEdgeFingerprint.ts
@@ -1,5 +1,5 @@
 /**
- * Computes fingerprints of requests. Requests with the same content have the same fingerprint,
+ * Computes fingerprints of requests. Equal requests of a caller have the same fingerprint,
  * regardless of the entry that receives them and of their request ids.
  *
  * @module
