--- a/packages/bendfall-edge/src/BendfallEdgeDialect.ts
+++ b/packages/bendfall-edge/src/BendfallEdgeDialect.ts
@@ -128,15 +128,15 @@
 /** Encodes calls to replicas and decodes their responses. */
 export interface ReplicaDialect {
   /** Returns the headers that the router adds to a request for execution. */
-  readonly runHeaders: (order: RunOrder) => RawHeaders
+  readonly runHeaders: (parameters: RunOrder) => RawHeaders
   /** Returns the headers that the router adds to a prefill request. */
-  readonly prefillHeaders: (order: PrefillOrder) => RawHeaders
+  readonly prefillHeaders: (parameters: PrefillOrder) => RawHeaders
   readonly readAnswerHead: (status: number, headers: IncomingHttpHeaders) => AnswerHead
   /** @returns the handle of the prefill result, or a description of the error in the body */
   readonly readPrefillResult: (body: Buffer) => Result<string, string>
   readonly freeHandle: (handle: string) => PlainCall
   /** Builds the call that asks a replica to hold memory for an upcoming request. */
-  readonly takeHold: (order: HoldOrder) => ReplicaCallRequest
+  readonly takeHold: (parameters: HoldOrder) => ReplicaCallRequest
   readonly readHoldAnswer: (status: number, body: Buffer) => HoldOutcome
   readonly dropHold: (holdId: string) => PlainCall
   /** Builds the call that orders a replica to change its stage. */
--- a/packages/bendfall-edge/src/BendfallEdgeEntry.ts
+++ b/packages/bendfall-edge/src/BendfallEdgeEntry.ts
@@ -123,9 +123,9 @@
       metrics.count('bendfall_answers_garbled_total')
       logger.warn('answer_garbled', { request: requestId, detail })
     },
-    onEndedWithConnection: ({ requestId, ...answer }) => {
+    onEndedWithConnection: ({ requestId, ...response }) => {
       metrics.count('bendfall_answers_without_length_total')
-      logger.info('answer_without_length', { request: requestId, ...answer })
+      logger.info('answer_without_length', { request: requestId, ...response })
     }
   }))
   teardowns.push(registerHolds({ loop, dialect: dialect.replica, poolOf: pools.at, hasLimit: (replicaId) => hasLimit(state, replicaId) }))
@@ -159,9 +159,9 @@
     configApplyMs: settings.configApplyMs ?? CONFIG_APPLY_MS,
     revokedWithinMs: state.credentialLimits.revokedWithinMs,
     onReplicas: () => { hasReplicas = true },
-    onOwnDocuments: (present, goneKeys) => {
-      allotments.learn(present, goneKeys)
-      permits.learn(present, goneKeys)
+    onOwnDocuments: (entries, removedKeys) => {
+      allotments.learn(entries, removedKeys)
+      permits.learn(entries, removedKeys)
     },
     onConfig: () => {
       callers.applyLimits()
--- a/packages/bendfall-edge/src/caller/BendfallEdgeExchange.ts
+++ b/packages/bendfall-edge/src/caller/BendfallEdgeExchange.ts
@@ -28,7 +28,7 @@
 /** A caller's request and the response to it. */
 export interface Exchange extends ExchangeInit {
   /** Sends a complete response. */
-  readonly deliver: (answer: HeldAnswer) => void
+  readonly deliver: (response: HeldAnswer) => void
   /** Sends the status and headers of a response whose body follows. */
   readonly start: (status: number, headers: IncomingHttpHeaders) => void
   /** @returns false if the caller reads more slowly than the replica writes; `onDrain` follows */
--- a/packages/bendfall-edge/src/directory/BendfallEdgeDirectory.ts
+++ b/packages/bendfall-edge/src/directory/BendfallEdgeDirectory.ts
@@ -29,7 +29,7 @@
   /** Called after the set of replicas has changed. */
   readonly onChange: () => void
   /** Called with changed documents that router processes exchange, and with all deleted keys. */
-  readonly onOwnDocuments: (present: readonly KeyValueEntry[], goneKeys: readonly string[]) => void
+  readonly onOwnDocuments: (entries: readonly KeyValueEntry[], removedKeys: readonly string[]) => void
   readonly metrics: Metrics
   /** Time after which a replica that is shutting down must get no new work. */
   readonly drainMs: number
--- a/packages/bendfall-edge/src/replica/BendfallEdgeRunListener.ts
+++ b/packages/bendfall-edge/src/replica/BendfallEdgeRunListener.ts
@@ -31,7 +31,7 @@
   /** Called for responses that are not valid responses of a replica. */
   readonly onGarbled: (requestId: string, detail: string) => void
   /** Called for close-delimited responses, since nothing else indicates whether they are complete. */
-  readonly onEndedWithConnection: (answer: UnframedAnswer) => void
+  readonly onEndedWithConnection: (response: UnframedAnswer) => void
   /** Returns the current send; undefined once it has been aborted. */
   readonly send: () => RunSend | undefined
 }
