--- a/packages/bendfall-edge/src/BendfallEdgeEntry.ts
+++ b/packages/bendfall-edge/src/BendfallEdgeEntry.ts
@@ -1,5 +1,6 @@
 /**
- * Wires the entry: callers, decisions, replicas, ledgers and directory.
+ * Wires the entry process, which accepts callers' requests: HTTP server, routing decisions,
+ * connections to replicas, memory ledgers and the directory.
  *
  * @module
  */
@@ -34,7 +35,7 @@
 import { createReplicaPools } from './replica/BendfallEdgeReplicaPools.js'
 import { registerSends } from './replica/BendfallEdgeSends.js'
 
-/** What an entry is made of. */
+/** Dependencies and settings of an entry. */
 export interface EntryOptions {
   readonly settings: EdgeSettings
   readonly dialect: Dialect
@@ -42,45 +43,48 @@
   readonly logger: Logger
   readonly metrics?: Metrics
   readonly clock?: Clock
-  /** What operators confirmed for the pools; absent: they stay as they are. */
+  /** Prefill shares for the pools, confirmed by operators; if absent, the pools stay unchanged. */
   readonly poolIntent?: PoolIntent
 }
 
-/** An entry that runs. */
+/** A running entry. */
 export interface Entry {
   readonly state: () => RouterState
-  /** Says not ready, finishes what runs, cuts what the grace time does not suffice for, and stops. */
+  /** Reports not ready, waits for open requests, aborts those still open after the grace period, and stops. */
   readonly stop: () => Promise<void>
-  /** Cuts all answers that are not out, at once; for the end of the process. */
+  /** Immediately aborts all responses that have not been fully sent; called when the process exits. */
   readonly cutOpen: () => void
 }
 
-/** Callers are sent here until the platform has seen that the process is not ready: two questions, a second apart, and one more. */
-const LINGER_MS = 3_200
+/**
+ * Minimum time to keep serving after a stop was requested. The platform keeps routing callers
+ * here until it has seen two failed readiness probes, one second apart, plus one more probe.
+ */
+const READINESS_LINGER_MS = 3_200
 
-/** Kept before the process would be killed. */
+/** Time reserved between the end of the graceful stop and the kill of the process. */
 const KILL_MARGIN_MS = 700
 
 const MS_PER_SECOND = 1_000
 
 const NO_CUSTOMERS: ReadonlyMap<string, Customer> = new Map()
 
-/** Requests named in the line about cut answers. */
-const LOGGED_CUTS = 50
+/** Maximum number of request ids in the log line about aborted responses. */
+const MAX_LOGGED_REQUEST_IDS = 50
 
-/** Between two looks whether all requests have ended. */
-const STOP_CHECK_MS = 50
+/** Interval between checks whether all requests have ended. */
+const STOP_POLL_INTERVAL_MS = 50
 
 /**
  * Starts an entry.
  *
- * @param options - settings, dialect and service
- * @returns the entry once it listens
- * @throws Error when settings lack an address or it can't be bound
+ * @param options - settings, platform adapter, key-value service and logger
+ * @returns the entry, once it is listening
+ * @throws Error if a listen address is missing from the settings or can't be bound
  */
 export async function startEntry (options: EntryOptions): Promise<Entry> {
   const { clock = createSystemClock(), dialect, keyValue, logger, metrics = createMetrics(), settings } = options
-  if (settings.callersListen === undefined || settings.readyListen === undefined) throw new Error('settings of an entry need callersListen and readyListen')
+  if (settings.callersListen === undefined || settings.readyListen === undefined) throw new Error('entry settings require callersListen and readyListen')
   const teardowns = createTeardownStack()
   const state = createRouterState(Math.floor(Math.random() * 0xffffffff), settings.instanceId, decisionsOf(settings), budgetLimitsOf(settings), crashLimitsOf(settings), credentialLimitsOf(settings))
   const readSuspendedMs = createSuspensionWatch(clock)
@@ -103,7 +107,7 @@
     },
     onRequest: (request) => {
       nextKey += 1
-      takeRequest(loop, exchanges, open, request, String(nextKey), () => isStopping)
+      handleRequest(loop, exchanges, open, request, String(nextKey), () => isStopping)
     }
   })
   const ledgers = registerLedgerClients({ loop, logger, port: settings.peerPorts[0] })
@@ -119,15 +123,15 @@
       metrics.count('bendfall_answers_garbled_total')
       logger.warn('answer_garbled', { request: requestId, detail })
     },
-    onEndedWithConnection: ({ requestId, ...answer }) => {
+    onEndedWithConnection: ({ requestId, ...response }) => {
       metrics.count('bendfall_answers_without_length_total')
-      logger.info('answer_without_length', { request: requestId, ...answer })
+      logger.info('answer_without_length', { request: requestId, ...response })
     }
   }))
   teardowns.push(registerHolds({ loop, dialect: dialect.replica, poolOf: pools.at, hasLimit: (replicaId) => hasLimit(state, replicaId) }))
   teardowns.push(registerReplicaChecks({ loop, onConnect }))
   teardowns.push(registerCrashReports({ loop, port: keyValue, logger, instanceId: settings.instanceId, rememberedMs: state.crashes.limits.rememberedMs }))
-  registerAnswers(loop, exchanges)
+  registerResponses(loop, exchanges)
   teardowns.push(registerTicks(loop))
   if (options.poolIntent !== undefined) {
     state.poolIntent = options.poolIntent
@@ -155,9 +159,9 @@
     configApplyMs: settings.configApplyMs ?? CONFIG_APPLY_MS,
     revokedWithinMs: state.credentialLimits.revokedWithinMs,
     onReplicas: () => { hasReplicas = true },
-    onOwnDocuments: (present, goneKeys) => {
-      allotments.learn(present, goneKeys)
-      permits.learn(present, goneKeys)
+    onOwnDocuments: (entries, removedKeys) => {
+      allotments.learn(entries, removedKeys)
+      permits.learn(entries, removedKeys)
     },
     onConfig: () => {
       callers.applyLimits()
@@ -193,11 +197,12 @@
     const isOver = (): boolean => {
       const elapsedMs = clock.nowMs() - startedMs
       if (elapsedMs >= settings.stopGraceS * MS_PER_SECOND - KILL_MARGIN_MS) return true
-      return elapsedMs >= LINGER_MS && state.requests.size === 0 && open.size() === 0
+      return elapsedMs >= READINESS_LINGER_MS && state.requests.size === 0 && open.size() === 0
     }
-    while (!isOver()) await wait(STOP_CHECK_MS)
+    while (!isOver()) await wait(STOP_POLL_INTERVAL_MS)
     logger.info('stopped', { open: state.requests.size })
-    // Before the server closes: it closes connections in order, also under an answer that is whole but not out.
+    // Must precede server.close(), which ends connections gracefully even if a response is
+    // complete but not yet fully sent.
     const cut = open.cut()
     logCut(cut)
     if (cut.length > 0) await wait(2 * RESET_PAUSE_MS)
@@ -217,7 +222,7 @@
   }
 
   function logCut (cut: readonly Exchange[]): void {
-    if (cut.length > 0) logger.warn('answers_cut', { answers: cut.length, requests: cut.slice(0, LOGGED_CUTS).map(({ caller }) => caller.requestId).join(' ') })
+    if (cut.length > 0) logger.warn('answers_cut', { answers: cut.length, requests: cut.slice(0, MAX_LOGGED_REQUEST_IDS).map(({ caller }) => caller.requestId).join(' ') })
   }
 
   return { state: () => state, stop, cutOpen }
@@ -231,9 +236,9 @@
   })
 }
 
-function takeRequest (loop: UpdateLoop<RouterEvent, RouterEffect>, exchanges: Map<string, Exchange>, open: OpenExchanges, whole: WholeRequest, key: string, isStopping: () => boolean): void {
-  const { caller, request } = whole
-  const exchange = createExchange({ key, ...whole }, () => isStopping() && !whole.hasNext())
+function handleRequest (loop: UpdateLoop<RouterEvent, RouterEffect>, exchanges: Map<string, Exchange>, open: OpenExchanges, completeRequest: WholeRequest, key: string, isStopping: () => boolean): void {
+  const { caller, request } = completeRequest
+  const exchange = createExchange({ key, ...completeRequest }, () => isStopping() && !completeRequest.hasNext())
   exchanges.set(key, exchange)
   open.add(exchange, () => loop.dispatch({ type: 'caller_left', key }))
   loop.dispatch({
@@ -243,7 +248,7 @@
       requestId: caller.requestId,
       host: request.headers.host ?? '',
       path: request.url ?? '/',
-      fingerprint: fingerprintOf({ method: request.method ?? 'GET', path: request.url ?? '/', headers: request.headers, body: whole.body }),
+      fingerprint: fingerprintOf({ method: request.method ?? 'GET', path: request.url ?? '/', headers: request.headers, body: completeRequest.body }),
       deadlineMs: caller.deadlineMs,
       prompt: caller.prompt,
       keyDigest: caller.keyDigest,
@@ -252,7 +257,8 @@
   })
 }
 
-// Time is an event too, so that a process that stood still knows it before it acts.
+// Dispatches the passage of time as an event, so that a suspended process detects the pause
+// before it makes decisions.
 function registerTicks ({ clock, dispatch }: UpdateLoop<RouterEvent, RouterEffect>): Teardown {
   let cancel: Teardown = () => {}
   const tick = (): void => {
@@ -263,7 +269,7 @@
   return () => cancel()
 }
 
-function registerAnswers (loop: UpdateLoop<RouterEvent, RouterEffect>, exchanges: Map<string, Exchange>): void {
+function registerResponses (loop: UpdateLoop<RouterEvent, RouterEffect>, exchanges: Map<string, Exchange>): void {
   const deadlines = new Map<string, () => void>()
   loop.registerEffect('set_deadline', ({ inMs, key }) => {
     deadlines.set(key, loop.clock.callAt(loop.clock.nowMs() + inMs, () => loop.dispatch({ type: 'deadline_passed', key })))
--- a/packages/bendfall-edge/src/crashes/BendfallEdgeCrashReports.ts
+++ b/packages/bendfall-edge/src/crashes/BendfallEdgeCrashReports.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps what this entry has seen of crashes in the key-value service, under a lease that
- * ends with the time for which a crash counts: a report outlives its entry.
+ * Publishes the crashes observed by this entry in the key-value service. The lease of a report
+ * lasts as long as a crash counts, so that the report survives the entry.
  *
  * @module
  */
@@ -10,32 +10,32 @@
 import type { CrashReport, RouterEffect, RouterEvent } from 'bendfall-router'
 import { CRASH_PREFIX, encodeCrashReport } from './BendfallEdgeCrashDocument.js'
 
-/** What the reports need. */
+/** Dependencies of the reports. */
 export interface CrashReportOptions {
   readonly loop: UpdateLoop<RouterEvent, RouterEffect>
   readonly port: KeyValuePort
   readonly logger: Logger
   readonly instanceId: string
-  /** Time for which a crash counts; the longest lease of the service is ten minutes. */
+  /** Time for which a crash counts; the service grants leases of at most ten minutes. */
   readonly rememberedMs: number
 }
 
-/** Crashes within this are told at once: one that ends many requests is heard of many times. */
-const GATHER_MS = 50
+/** Crashes within this time are published together, since one crash that ends many requests is detected many times. */
+const BATCH_DELAY_MS = 50
 
-/** Pauses after failed writes; half of them by chance, since many entries see one crash. */
-const FIRST_PAUSE_MS = 100
-const LONGEST_PAUSE_MS = 2_000
+/** Bounds of the backoff after failed writes. It is randomized by ±50 %, since many entries observe the same crash. */
+const INITIAL_BACKOFF_MS = 100
+const MAX_BACKOFF_MS = 2_000
 
 /**
  * Registers the effect `publish_crashes`.
  *
- * @param options - update path and service
+ * @param options - event loop, key-value service and identity of the entry
  * @returns teardown
  */
 export function registerCrashReports ({ instanceId, logger, loop, port, rememberedMs }: CrashReportOptions): Teardown {
   const key = `${CRASH_PREFIX}${instanceId}`
-  const ended = new AbortController()
+  const abortController = new AbortController()
   let latest: CrashReport | undefined
   let isWriting = false
   let revision: number | undefined
@@ -45,10 +45,10 @@
     if (lease.type !== 'granted') return false
     revision ??= await readRevision()
     if (revision === undefined) return false
-    const written = await port.compareAndSwap({ key, expectedRevision: revision, value: encodeCrashReport(report), leaseId: lease.leaseId })
-    // Whether it was done, and which revision stands there, is read before the next try.
-    revision = written.type === 'applied' ? written.revision : undefined
-    return written.type === 'applied'
+    const outcome = await port.compareAndSwap({ key, expectedRevision: revision, value: encodeCrashReport(report), leaseId: lease.leaseId })
+    // After a failure the next attempt first reads whether the write took effect, and its revision.
+    revision = outcome.type === 'applied' ? outcome.revision : undefined
+    return outcome.type === 'applied'
   }
 
   async function readRevision (): Promise<number | undefined> {
@@ -58,8 +58,8 @@
   }
 
   async function writeLatest (): Promise<void> {
-    for (let tried = 0; latest !== undefined && !ended.signal.aborted; tried += 1) {
-      await pause(loop.clock, tried === 0 ? GATHER_MS : backoffMs(FIRST_PAUSE_MS, LONGEST_PAUSE_MS, tried) * (0.5 + Math.random()), ended.signal)
+    for (let tried = 0; latest !== undefined && !abortController.signal.aborted; tried += 1) {
+      await pause(loop.clock, tried === 0 ? BATCH_DELAY_MS : backoffMs(INITIAL_BACKOFF_MS, MAX_BACKOFF_MS, tried) * (0.5 + Math.random()), abortController.signal)
       const report = latest
       if (!await write(report)) continue
       if (latest === report) latest = undefined
@@ -77,8 +77,8 @@
   }
 
   return combineTeardowns([
-    () => ended.abort(),
-    // The copy may lack the report, or have an older one.
+    () => abortController.abort(),
+    // The restored backup may lack the report or contain an older one.
     port.onEra?.(() => {
       revision = undefined
       loop.dispatch({ type: 'crashes_untold' })
--- a/packages/bendfall-edge/src/replica/BendfallEdgeConnections.ts
+++ b/packages/bendfall-edge/src/replica/BendfallEdgeConnections.ts
@@ -1,6 +1,7 @@
 /**
- * Connections to one replica: one request at a time on each, the one used last
- * first, so that few stay open. None is used again after anything unasked came on it.
+ * Connection pool of one replica. A connection carries one request at a time, and the most recently
+ * used one is reused first, so that few stay open. A connection on which unsolicited data has
+ * arrived is not reused.
  *
  * @module
  */
@@ -9,87 +10,87 @@
 import { connectReplica } from './BendfallEdgeReplicaSocket.js'
 import type { ConnectCallback, ReplicaSocket } from './BendfallEdgeReplicaSocket.js'
 
-/** Idle time after which a connection is closed when the replica does not tell its own. */
-const IDLE_CLOSE_MS = 8_000
+/** Idle time after which a connection is closed if the replica doesn't specify one. */
+const DEFAULT_IDLE_TIMEOUT_MS = 8_000
 
-/** Longest idle time that a replica may ask for. */
-const LONGEST_IDLE_MS = 60_000
+/** Maximum idle time that a replica may specify. */
+const MAX_IDLE_TIMEOUT_MS = 60_000
 
-/** Port of an address that names none. */
-const HTTP_PORT = 80
+/** Port of an address without a port. */
+const DEFAULT_HTTP_PORT = 80
 
-/** Head of an answer at most. */
+/** Maximum size of a response head. */
 const MAX_HEAD_BYTES = 32_768
 
-/** Requests that a connection carries at most; it remembers their ids, some 100 bytes each. */
-const MOST_REQUESTS = 256
+/** Maximum number of requests per connection, since it stores their ids of about 100 bytes each. */
+const MAX_REQUESTS_PER_CONNECTION = 256
 
-/** A connection that one request uses at a time. */
+/** A connection that carries one request at a time. */
 export interface Connection {
   readonly client: Client
-  /** How its data ended; `undefined` while it is open, and after an error. */
+  /** Returns how the received data ended; `undefined` while the connection is open and after an error. */
   readonly end: () => ConnectionEnd | undefined
   /**
-   * Sets who is told of the end of the data before the client acts on it; replaces the
-   * former one.
+   * Sets the listener that is called at the end of the data, before the HTTP client handles it.
+   * Replaces the previous listener.
    */
   readonly onEnding: (listener: () => void) => void
-  /** Ids of the requests that it carried; absent: it carries one call. */
+  /** Ids of the requests carried so far; absent for a connection dedicated to a single call. */
   readonly requestIds?: Set<string>
-  /** Bytes that came on it so far. */
+  /** Returns the number of bytes received so far. */
   readonly bytesRead: () => number
-  /** Keeps the first line of the next answer anew. */
+  /** Resets the recorded start line for the next response. */
   readonly awaitAnswer: () => void
-  /** @returns what came of that line */
+  /** @returns the received part of the start line of the response */
   readonly startLine: () => string
 }
 
-/** A connection that waits for its next request. */
+/** A connection that is available for the next request. */
 interface IdleConnection {
   readonly connection: Connection
-  /** Bytes that had come when its last answer had ended. */
+  /** Bytes received by the end of the last response. */
   readonly bytesRead: number
 }
 
-/** Connections to one replica. */
+/** Connection pool of one replica. */
 export interface ConnectionPool {
   /**
-   * @param requestId - of the request; absent: the answer bears no id
-   * @returns a connection that no request uses and that carried none of the same id, since
-   * the id does not tell a second answer to the earlier one; a new one without an id
+   * @param requestId - id of the request; omitted if the response echoes none
+   * @returns an idle or new connection that hasn't carried a request with the same id, since the id
+   * couldn't identify a duplicate response to the earlier one; without an id always a new connection
    */
   readonly take: (requestId?: string) => Connection
-  /** Gives a connection back after its answer. */
+  /** Returns a connection to the pool after its response. */
   readonly giveBack: (connection: Connection) => void
-  /** Ends the connections that no request uses. */
+  /** Closes all idle connections. */
   readonly closeIdle: () => void
-  /** Ends all connections. */
+  /** Closes all connections. */
   readonly destroy: () => void
 }
 
 /**
- * Makes the pool of a replica.
+ * Creates the connection pool of a replica.
  *
  * @param address - `ip:port` of the replica
- * @param onConnect - called for each connection opened
+ * @param onConnect - called for each opened connection
  * @returns the pool
  */
 export function createConnectionPool (address: string, onConnect: () => void): ConnectionPool {
   const idle: IdleConnection[] = []
-  const all = new Set<Client>()
+  const allClients = new Set<Client>()
 
-  function open (requestIds?: Set<string>): Connection {
+  function openConnection (requestIds?: Set<string>): Connection {
     let socket: ReplicaSocket | undefined
     let end: ConnectionEnd | undefined
-    let tellEnding = (): void => {}
-    const onEnd = (ended: ConnectionEnd): void => {
-      end = ended
-      tellEnding()
+    let notifyBeforeEnd = (): void => {}
+    const onEnd = (connectionEnd: ConnectionEnd): void => {
+      end = connectionEnd
+      notifyBeforeEnd()
     }
     const client = new Client(`http://${address}`, {
       connect: ({ hostname, port }, callback) => {
         end = undefined
-        connectReplica({ host: hostname, port: Number(port === '' ? HTTP_PORT : port), onEnd }, (...result) => {
+        connectReplica({ host: hostname, port: Number(port === '' ? DEFAULT_HTTP_PORT : port), onEnd }, (...result) => {
           if (result[0] === null) {
             socket = result[1]
             onConnect()
@@ -100,56 +101,57 @@
       pipelining: 1,
       headersTimeout: 0,
       bodyTimeout: 0,
-      keepAliveTimeout: IDLE_CLOSE_MS,
-      keepAliveMaxTimeout: LONGEST_IDLE_MS,
+      keepAliveTimeout: DEFAULT_IDLE_TIMEOUT_MS,
+      keepAliveMaxTimeout: MAX_IDLE_TIMEOUT_MS,
       maxHeaderSize: MAX_HEAD_BYTES
     })
-    all.add(client)
-    return { client, end: () => end, onEnding: (listener) => { tellEnding = listener }, requestIds, bytesRead: () => socket?.bytesRead ?? 0, awaitAnswer: () => socket?.awaitAnswer(), startLine: () => socket?.startLine() ?? '' }
+    allClients.add(client)
+    return { client, end: () => end, onEnding: (listener) => { notifyBeforeEnd = listener }, requestIds, bytesRead: () => socket?.bytesRead ?? 0, awaitAnswer: () => socket?.awaitAnswer(), startLine: () => socket?.startLine() ?? '' }
   }
 
-  function takeIdle (requestId: string): Connection | undefined {
+  function acquireIdle (requestId: string): Connection | undefined {
     for (let index = idle.length - 1; index >= 0; index--) {
       const { bytesRead, connection } = idle[index] as IdleConnection
       if (connection.requestIds?.has(requestId) === true) continue
       idle.splice(index, 1)
       if (connection.client.stats.connected && connection.bytesRead() === bytesRead) return connection
-      drop(connection)
+      discard(connection)
     }
     return undefined
   }
 
   function take (requestId?: string): Connection {
-    if (requestId === undefined) return open()
-    const connection = takeIdle(requestId) ?? open(new Set())
+    if (requestId === undefined) return openConnection()
+    const connection = acquireIdle(requestId) ?? openConnection(new Set())
     connection.requestIds?.add(requestId)
     connection.awaitAnswer()
     return connection
   }
 
-  function mayBeUsedAgain ({ client, requestIds }: Connection): boolean {
-    return requestIds !== undefined && requestIds.size < MOST_REQUESTS && !client.destroyed && client.stats.connected
+  function isReusable ({ client, requestIds }: Connection): boolean {
+    return requestIds !== undefined && requestIds.size < MAX_REQUESTS_PER_CONNECTION && !client.destroyed && client.stats.connected
   }
 
-  function drop ({ client }: Connection): void {
-    all.delete(client)
+  function discard ({ client }: Connection): void {
+    allClients.delete(client)
     client.destroy().catch(ignoreError)
   }
 
   return {
     take,
     giveBack: (connection) => {
-      if (mayBeUsedAgain(connection)) idle.push({ connection, bytesRead: connection.bytesRead() })
-      else drop(connection)
+      if (isReusable(connection)) idle.push({ connection, bytesRead: connection.bytesRead() })
+      else discard(connection)
     },
-    closeIdle: () => { for (const { connection } of idle.splice(0)) drop(connection) },
+    closeIdle: () => { for (const { connection } of idle.splice(0)) discard(connection) },
     destroy: () => {
-      for (const client of all) client.destroy().catch(ignoreError)
-      all.clear()
+      for (const client of allClients) client.destroy().catch(ignoreError)
+      allClients.clear()
       idle.length = 0
     }
   }
 }
 
-// The error of a destroyed client is the destroy itself; its request, if any, was told.
+// A destroyed client rejects because of the destruction itself; its request, if any, has already been
+// notified.
 function ignoreError (): void {}
--- a/packages/bendfall-edge/src/replica/BendfallEdgeHolds.ts
+++ b/packages/bendfall-edge/src/replica/BendfallEdgeHolds.ts
@@ -1,5 +1,5 @@
 /**
- * Carries out the effects that hold memory at a replica and give it back.
+ * Executes the effects that reserve memory at a replica (a hold) and release it.
  *
  * @module
  */
@@ -11,26 +11,26 @@
 import { tellOwnNotice } from './BendfallEdgeNotices.js'
 import { startIgnoredCall, startOwnCall } from './BendfallEdgeOwnCall.js'
 
-/** What holds need. */
+/** Dependencies of the effects. */
 export interface HoldOptions {
   readonly loop: UpdateLoop<RouterEvent, RouterEffect>
   readonly dialect: ReplicaDialect
-  /** Connections to the replica at an address. */
+  /** Returns the connection pool of the replica at an address. */
   readonly poolOf: (address: string) => ConnectionPool
-  /** @returns whether a replica names a limit */
+  /** @returns whether the replica has a known request limit */
   readonly hasLimit: (replicaId: string) => boolean
 }
 
 /**
  * Registers the effects `take_hold` and `drop_hold`.
  *
- * @param options - update path, dialect and connections
+ * @param options - event loop, platform adapter and connections
  * @returns teardown
  */
 export function registerHolds (options: HoldOptions): Teardown {
   const { dialect, loop, poolOf } = options
 
-  function take (effect: RouterEffectOf<'take_hold'>): void {
+  function takeHold (effect: RouterEffectOf<'take_hold'>): void {
     const sentAtMs = loop.clock.nowMs()
     startOwnCall(poolOf(effect.address), dialect.takeHold(effect), { clock: loop.clock, timeoutMs: effect.timeoutMs }, (answer) => {
       if (answer.type === 'answered') tellOwnNotice(options, { replicaId: effect.replicaId, sentAtMs }, answer)
@@ -40,7 +40,7 @@
   }
 
   return combineTeardowns([
-    loop.registerEffect('take_hold', take),
+    loop.registerEffect('take_hold', takeHold),
     loop.registerEffect('drop_hold', ({ address, holdId }) => startIgnoredCall(poolOf(address), dialect.dropHold(holdId), loop.clock))
   ])
 }
--- a/packages/bendfall-edge/src/replica/BendfallEdgePrefillListener.ts
+++ b/packages/bendfall-edge/src/replica/BendfallEdgePrefillListener.ts
@@ -1,5 +1,5 @@
 /**
- * Reads the answer of a replica that was asked to read a prompt.
+ * Reads the response of a replica to a prefill request.
  *
  * @module
  */
@@ -8,14 +8,14 @@
 import { failureOf } from './BendfallEdgeCallFailure.js'
 import type { IdentifiedListener } from './BendfallEdgeAnswerIdentity.js'
 
-/** Longest answer of a prefill that is read. */
-const PREFILL_ANSWER_BYTES = 65_536
+/** Size limit of a prefill response. */
+const MAX_PREFILL_RESPONSE_BYTES = 65_536
 
 /**
- * Makes the listener of one prefill.
+ * Creates the listener of a prefill call.
  *
- * @param dialect - reads the result
- * @param onResult - told what came of it, once
+ * @param dialect - decoder of the result
+ * @param onResult - called once with the outcome
  * @returns the listener
  */
 export function createPrefillListener (dialect: ReplicaDialect, onResult: (outcome: PrefillOutcome) => void): IdentifiedListener {
@@ -24,13 +24,13 @@
   let status = 0
   let head: AnswerHead | undefined
   return {
-    onHead: (answered, _, answeredHead) => {
-      status = answered
-      head = answeredHead
+    onHead: (responseStatus, _, responseHead) => {
+      status = responseStatus
+      head = responseHead
     },
     onChunk: (chunk) => {
       bytes += chunk.length
-      if (bytes <= PREFILL_ANSWER_BYTES) chunks.push(chunk)
+      if (bytes <= MAX_PREFILL_RESPONSE_BYTES) chunks.push(chunk)
     },
     onEnd: () => {
       if (status === 200) {
