--- a/packages/bendfall-edge/src/allotments/BendfallEdgeAllotmentDuty.ts
+++ b/packages/bendfall-edge/src/allotments/BendfallEdgeAllotmentDuty.ts
@@ -27,10 +27,10 @@
  * long: lost with one instance, both would be missing. Longer than the wait for a holder of a former era,
  * after which all entries may take both.
  */
-const OTHER_ROLE_AFTER_MS = TIMING.leaseMs + 2_000
+const SECOND_ROLE_DELAY_MS = TIMING.leaseMs + 2_000
 
 /** Entries that see a key free look one after the other, within this. */
-const SPREAD_MS = 600
+const CHECK_JITTER_MS = 600
 
 /** Units to take or give back. */
 export interface UnitsAsk {
@@ -58,8 +58,8 @@
 /** The duties of this entry. */
 export interface AllotmentDuties {
   /** Takes units, if this entry holds the duty. */
-  readonly take: (ask: UnitsAsk) => UnitsOutcome
-  readonly giveBack: (ask: UnitsAsk) => void
+  readonly take: (request: UnitsAsk) => UnitsOutcome
+  readonly giveBack: (request: UnitsAsk) => void
   /** Forgets customers that the configuration no longer has. */
   readonly keepOnly: (names: ReadonlySet<string>) => void
   /** Looks whether a duty is free: news came of one. */
@@ -72,7 +72,7 @@
   readonly close: Teardown
 }
 
-interface Duty {
+interface Candidacy {
   readonly election: HolderLease
   keeper?: AllotmentKeeper
   freeSinceMs?: number
@@ -86,69 +86,69 @@
  */
 export function joinAllotmentDuties (options: AllotmentDutyOptions): AllotmentDuties {
   const { bounds, clock, customerOf, isNeeded, logger, own, placeOf, port } = options
-  const duties = new Map<AllotmentRole, Duty>()
+  const candidacies = new Map<AllotmentRole, Candidacy>()
   for (const role of ALLOTMENT_ROLES) {
-    const election = joinElection({ port, clock, logger, key: keyOfRole(role), holder: encodeKeeper(own), timing: TIMING, takesOverOwn: true, newsOf: () => newsOf(role) })
-    duties.set(role, { election })
+    const election = joinElection({ port, clock, logger, key: keyOfRole(role), holder: encodeKeeper(own), timing: TIMING, takesOverOwn: true, readAvailability: () => availabilityOf(role) })
+    candidacies.set(role, { election })
   }
-  let cancelLook: Teardown = () => {}
-
-  function newsOf (role: AllotmentRole): HolderNews {
-    const duty = duties.get(role)
-    const place = placeOf(role)
-    if (duty === undefined || !isNeeded()) return 'left_alone'
-    if (place !== undefined && place.instanceId !== own.instanceId) {
-      duty.freeSinceMs = undefined
+  let cancelCheck: Teardown = () => {}
+
+  function availabilityOf (role: AllotmentRole): HolderNews {
+    const candidacy = candidacies.get(role)
+    const leader = placeOf(role)
+    if (candidacy === undefined || !isNeeded()) return 'left_alone'
+    if (leader !== undefined && leader.instanceId !== own.instanceId) {
+      candidacy.freeSinceMs = undefined
       return 'held'
     }
-    duty.freeSinceMs ??= clock.nowMs()
-    return mayGetOther(role) && clock.nowMs() - duty.freeSinceMs < OTHER_ROLE_AFTER_MS ? 'left_alone' : 'free'
+    candidacy.freeSinceMs ??= clock.nowMs()
+    return mayLeadOtherRole(role) && clock.nowMs() - candidacy.freeSinceMs < SECOND_ROLE_DELAY_MS ? 'left_alone' : 'free'
   }
 
-  function mayGetOther (role: AllotmentRole): boolean {
+  function mayLeadOtherRole (role: AllotmentRole): boolean {
     if (role === 'reserve' && placeOf('primary') === undefined) return true
     // The key-value service may tell of an own key before it has answered the write.
-    return ALLOTMENT_ROLES.some((other) => other !== role && (duties.get(other)?.election.fence() !== undefined || placeOf(other)?.instanceId === own.instanceId))
+    return ALLOTMENT_ROLES.some((other) => other !== role && (candidacies.get(other)?.election.fence() !== undefined || placeOf(other)?.instanceId === own.instanceId))
   }
 
   // What another process granted under the duty before is not known, so that each time begins empty.
-  function keeperOf (role: AllotmentRole): AllotmentKeeper | undefined {
-    const duty = duties.get(role)
-    const sinceMs = duty?.election.heldSinceMs()
-    if (duty === undefined || sinceMs === undefined) return undefined
-    if (duty.keeper?.sinceMs !== sinceMs) duty.keeper = createAllotmentKeeper(role, bounds, sinceMs)
-    return duty.keeper
+  function leaderStateOf (role: AllotmentRole): AllotmentKeeper | undefined {
+    const candidacy = candidacies.get(role)
+    const sinceMs = candidacy?.election.heldSinceMs()
+    if (candidacy === undefined || sinceMs === undefined) return undefined
+    if (candidacy.keeper?.sinceMs !== sinceMs) candidacy.keeper = createAllotmentKeeper(role, bounds, sinceMs)
+    return candidacy.keeper
   }
 
   function take ({ customer: name, role, units }: UnitsAsk): UnitsOutcome {
-    const keeper = keeperOf(role)
+    const leaderState = leaderStateOf(role)
     const customer = customerOf(name)
-    if (keeper === undefined || customer === undefined) return { type: 'unreachable' }
-    return takeOfAllotment(keeper, customer, units, clock.nowMs())
+    if (leaderState === undefined || customer === undefined) return { type: 'unreachable' }
+    return takeOfAllotment(leaderState, customer, units, clock.nowMs())
   }
 
   function giveBack ({ customer: name, role, units }: UnitsAsk): void {
-    const keeper = keeperOf(role)
+    const leaderState = leaderStateOf(role)
     const customer = customerOf(name)
-    if (keeper !== undefined && customer !== undefined) giveBackToAllotment(keeper, customer, units, clock.nowMs())
+    if (leaderState !== undefined && customer !== undefined) giveBackToAllotment(leaderState, customer, units, clock.nowMs())
   }
 
-  function lookNow (): void {
-    for (const { election } of duties.values()) election.look()
+  function checkNow (): void {
+    for (const { election } of candidacies.values()) election.look()
   }
 
   function look (): void {
-    cancelLook()
-    cancelLook = clock.callAt(clock.nowMs() + Math.random() * SPREAD_MS, lookNow)
+    cancelCheck()
+    cancelCheck = clock.callAt(clock.nowMs() + Math.random() * CHECK_JITTER_MS, checkNow)
   }
 
   return {
     take,
     giveBack,
-    keepOnly: (names) => { for (const { keeper } of duties.values()) if (keeper !== undefined) keepCustomers(keeper, names) },
+    keepOnly: (names) => { for (const { keeper } of candidacies.values()) if (keeper !== undefined) keepCustomers(keeper, names) },
     look,
-    reclaim: lookNow,
-    holds: (role) => duties.get(role)?.election.fence() !== undefined,
-    close: combineTeardowns([() => cancelLook(), ...[...duties.values()].map(({ election }) => election.close)])
+    reclaim: checkNow,
+    holds: (role) => candidacies.get(role)?.election.fence() !== undefined,
+    close: combineTeardowns([() => cancelCheck(), ...[...candidacies.values()].map(({ election }) => election.close)])
   }
 }
--- a/packages/bendfall-edge/src/allotments/BendfallEdgeAllotments.ts
+++ b/packages/bendfall-edge/src/allotments/BendfallEdgeAllotments.ts
@@ -18,7 +18,7 @@
 import { joinAllotmentDuties } from './BendfallEdgeAllotmentDuty.js'
 import type { UnitsAsk } from './BendfallEdgeAllotmentDuty.js'
 
-const LONGEST_RETRY_MS = 600_000
+const MAX_RETRY_AFTER_MS = 600_000
 
 /** What allotments need. */
 export interface AllotmentOptions {
@@ -37,7 +37,7 @@
   /** Serves other entries. */
   readonly serve: (streams: StreamRoutes) => void
   /** Takes what the key-value service tells of keepers. */
-  readonly learn: (present: readonly KeyValueEntry[], goneKeys: readonly string[]) => void
+  readonly learn: (entries: readonly KeyValueEntry[], removedKeys: readonly string[]) => void
   /** Takes the customers of a new configuration. */
   readonly applyConfig: () => void
   /** @returns whether this entry keeps the allotments in a role */
@@ -58,7 +58,7 @@
   const clients: Readonly<Record<AllotmentRole, KeeperClient>> = { primary: createClient('primary'), reserve: createClient('reserve') }
   // Of the configuration in force: with a thousand customers not looked up for each question.
   let isNeeded = false
-  const duties = joinAllotmentDuties({
+  const elections = joinAllotmentDuties({
     ...options,
     clock: loop.clock,
     customerOf: (name) => customers().get(name),
@@ -70,46 +70,46 @@
     return createKeeperClient({ clock: loop.clock, logger, own, key: keyOfRole(role) })
   }
 
-  function learn (present: readonly KeyValueEntry[], goneKeys: readonly string[]): void {
+  function learn (entries: readonly KeyValueEntry[], removedKeys: readonly string[]): void {
     for (const role of ALLOTMENT_ROLES) {
-      if (!clients[role].learn(present, goneKeys)) continue
-      if (clients[role].place()?.instanceId === own.instanceId) duties.reclaim()
-      else lookIfFree()
+      if (!clients[role].learn(entries, removedKeys)) continue
+      if (clients[role].place()?.instanceId === own.instanceId) elections.reclaim()
+      else checkIfVacant()
     }
   }
 
-  function lookIfFree (): void {
-    if (ALLOTMENT_ROLES.some((role) => clients[role].place() === undefined)) duties.look()
+  function checkIfVacant (): void {
+    if (ALLOTMENT_ROLES.some((role) => clients[role].place() === undefined)) elections.look()
   }
 
-  const asks = createAllotmentAsks({ clock: loop.clock, logger, clients, takeHere: (ask) => duties.holds(ask.role) ? duties.take(ask) : undefined, giveBack })
+  const allotmentClient = createAllotmentAsks({ clock: loop.clock, logger, clients, takeHere: (request) => elections.holds(request.role) ? elections.take(request) : undefined, giveBack })
 
   // Lost, it costs its customer some units of one window.
-  function giveBack (ask: UnitsAsk): void {
-    if (duties.holds(ask.role)) duties.giveBack(ask)
-    else clients[ask.role].tell((session, options) => callUnary(session, AllotmentService.method.giveBack, toMessage(ask), options))
+  function giveBack (request: UnitsAsk): void {
+    if (elections.holds(request.role)) elections.giveBack(request)
+    else clients[request.role].tell((session, options) => callUnary(session, AllotmentService.method.giveBack, toMessage(request), options))
   }
 
   function serve (streams: StreamRoutes): void {
     serveUnary(streams, AllotmentService.method.take, ({ customer, role, units }) => {
-      const outcome = isRole(role) ? duties.take({ role, customer, units }) : { type: 'unreachable' } as const
-      return { certain: outcome.type === 'granted' || outcome.type === 'refused', granted: outcome.type === 'granted', retryAfterMs: outcome.type === 'refused' ? Math.ceil(Math.min(LONGEST_RETRY_MS, outcome.retryAfterMs)) : 0 }
+      const outcome = isRole(role) ? elections.take({ role, customer, units }) : { type: 'unreachable' } as const
+      return { certain: outcome.type === 'granted' || outcome.type === 'refused', granted: outcome.type === 'granted', retryAfterMs: outcome.type === 'refused' ? Math.ceil(Math.min(MAX_RETRY_AFTER_MS, outcome.retryAfterMs)) : 0 }
     })
     serveUnary(streams, AllotmentService.method.giveBack, ({ customer, role, units }) => {
-      if (isRole(role)) duties.giveBack({ role, customer, units })
+      if (isRole(role)) elections.giveBack({ role, customer, units })
       return {}
     })
   }
 
   const unregister = combineTeardowns([
     loop.registerEffect('take_units', (effect) => {
-      answerTake(effect).catch((error: unknown) => logger.error('take_units_failed', { customer: effect.customer, error }))
+      handleTakeUnits(effect).catch((error: unknown) => logger.error('take_units_failed', { customer: effect.customer, error }))
     }),
     loop.registerEffect('give_back_units', giveBack)
   ])
 
-  async function answerTake ({ attempt, customer, key, role, units }: RouterEffectOf<'take_units'>): Promise<void> {
-    const answer = await asks.take(key, { role, customer, units })
+  async function handleTakeUnits ({ attempt, customer, key, role, units }: RouterEffectOf<'take_units'>): Promise<void> {
+    const answer = await allotmentClient.take(key, { role, customer, units })
     loop.dispatch({ type: 'units_answered', key, attempt, customer, units, ...answer })
   }
 
@@ -118,12 +118,12 @@
     learn,
     applyConfig: () => {
       isNeeded = [...customers().values()].some(({ allotment }) => allotment !== undefined)
-      duties.keepOnly(new Set(customers().keys()))
-      lookIfFree()
+      elections.keepOnly(new Set(customers().keys()))
+      checkIfVacant()
     },
-    holds: duties.holds,
-    leave: duties.close,
-    close: combineTeardowns([unregister, duties.close, ...ALLOTMENT_ROLES.map((role) => clients[role].close)])
+    holds: elections.holds,
+    leave: elections.close,
+    close: combineTeardowns([unregister, elections.close, ...ALLOTMENT_ROLES.map((role) => clients[role].close)])
   }
 }
 
--- a/packages/bendfall-edge/src/ledger/BendfallEdgeLedgerClients.ts
+++ b/packages/bendfall-edge/src/ledger/BendfallEdgeLedgerClients.ts
@@ -8,12 +8,12 @@
 import type { Logger, Teardown, UpdateLoop } from 'bendfall-node'
 import { LedgerService } from 'bendfall-protocol'
 import type { ConfirmOutcome, Replica, ReserveOutcome, RouterEffect, RouterEffectOf, RouterEvent } from 'bendfall-router'
-import { CALL_SLACK_MS, fromMessage, toRequest, withTimeout } from './BendfallEdgeLedgerMessages.js'
+import { CALL_SLACK_MS, toReplicaLoad, toReserveRequest, withTimeout } from './BendfallEdgeLedgerMessages.js'
 import { createLedgerSessions } from './BendfallEdgeLedgerSessions.js'
-import { registerLoadAsks } from './BendfallEdgeLoadAsks.js'
+import { registerLoadRequests } from './BendfallEdgeLoadAsks.js'
 
 /** A prompt that nobody says was read is shown to others for this long and the time that ledgers add. */
-const PREFILL_SHOWN_MS = 500
+const ANNOUNCED_LEAD_MS = 500
 
 /** What the clients need. */
 export interface LedgerClientOptions {
@@ -39,31 +39,31 @@
 export function registerLedgerClients (options: LedgerClientOptions): LedgerClients {
   const { logger, loop, port } = options
   const sessions = createLedgerSessions(port)
-  const asks = new Map<string, AbortController>()
+  const pendingReserves = new Map<string, AbortController>()
 
   async function reserve (effect: RouterEffectOf<'reserve'> | RouterEffectOf<'queue_prefill'>): Promise<ReserveOutcome> {
     const session = sessions.of(effect.replicaId)
     if (session === undefined) return { type: 'unreachable' }
-    const given = new AbortController()
-    asks.set(effect.bookingId, given)
+    const cancellation = new AbortController()
+    pendingReserves.set(effect.bookingId, cancellation)
     const timeoutMs = effect.maxWaitMs + CALL_SLACK_MS
     try {
-      const answer = await withTimeout(callUnary(session, LedgerService.method.reserve, toRequest(effect), { timeoutMs, signal: given.signal }), timeoutMs)
-      if (answer.load !== undefined) loop.dispatch({ type: 'load_learned', load: fromMessage(effect.replicaId, answer.load) })
+      const answer = await withTimeout(callUnary(session, LedgerService.method.reserve, toReserveRequest(effect), { timeoutMs, signal: cancellation.signal }), timeoutMs)
+      if (answer.load !== undefined) loop.dispatch({ type: 'load_learned', load: toReplicaLoad(effect.replicaId, answer.load) })
       if (answer.replicaLost) return { type: 'replica_lost' }
       return answer.granted ? { type: 'granted' } : { type: 'refused', retryAfterMs: answer.retryAfterMs }
     } catch (error) {
-      if (!given.signal.aborted) logger.warn('ledger_unreachable', { replica: effect.replicaId, booking: effect.bookingId, error })
+      if (!cancellation.signal.aborted) logger.warn('ledger_unreachable', { replica: effect.replicaId, booking: effect.bookingId, error })
       return { type: 'unreachable' }
     } finally {
-      asks.delete(effect.bookingId)
+      pendingReserves.delete(effect.bookingId)
     }
   }
 
   function announce ({ bookingId, promptTokens, replicaId }: RouterEffectOf<'announce_prefill'>): void {
     const session = sessions.of(replicaId)
     if (session === undefined) return
-    const request = { requestId: bookingId.slice(0, bookingId.lastIndexOf('/')), bookingId, promptTokens, leadMs: PREFILL_SHOWN_MS }
+    const request = { requestId: bookingId.slice(0, bookingId.lastIndexOf('/')), bookingId, promptTokens, leadMs: ANNOUNCED_LEAD_MS }
     callUnary(session, LedgerService.method.reserve, request, { timeoutMs: CALL_SLACK_MS }).catch((error: unknown) => {
       logger.debug('announcement_lost', { replica: replicaId, booking: bookingId, error })
     })
@@ -84,7 +84,7 @@
   }
 
   function release ({ bookingId, replicaId }: RouterEffectOf<'release'>): void {
-    asks.get(bookingId)?.abort()
+    pendingReserves.get(bookingId)?.abort()
     const session = sessions.of(replicaId)
     if (session === undefined) return
     // A release that is lost is made up for by the replica's own report.
@@ -95,7 +95,7 @@
 
   const teardown = combineTeardowns([
     sessions.closeAll,
-    registerLoadAsks({ loop, logger, sessions }),
+    registerLoadRequests({ loop, logger, sessions }),
     loop.registerEffect('reserve', (effect) => {
       reserve(effect).then((outcome) => loop.dispatch({ type: 'reserve_answered', key: effect.key, attempt: effect.attempt, outcome }),
         (error: unknown) => logger.error('reserve_failed', { booking: effect.bookingId, error }))
--- a/packages/bendfall-edge/src/ledger/BendfallEdgeLedgerMessages.ts
+++ b/packages/bendfall-edge/src/ledger/BendfallEdgeLedgerMessages.ts
@@ -18,7 +18,7 @@
  * @param effect - what the router asks for
  * @returns the message
  */
-export function toRequest (effect: RouterEffectOf<'reserve'> | RouterEffectOf<'queue_prefill'>): Omit<ReserveMemoryRequest, '$typeName' | '$unknown'> {
+export function toReserveRequest (effect: RouterEffectOf<'reserve'> | RouterEffectOf<'queue_prefill'>): Omit<ReserveMemoryRequest, '$typeName' | '$unknown'> {
   return {
     requestId: effect.bookingId.slice(0, effect.bookingId.lastIndexOf('/')),
     bookingId: effect.bookingId,
@@ -40,7 +40,7 @@
  * @param message - what its ledger told
  * @returns the load
  */
-export function fromMessage (replicaId: string, message: LoadMessage): ReplicaLoad {
+export function toReplicaLoad (replicaId: string, message: LoadMessage): ReplicaLoad {
   return {
     replicaId,
     stage: STAGES.has(message.stage) ? message.stage as ReplicaStage : undefined,
@@ -64,8 +64,8 @@
  */
 export function withTimeout<T> (answer: Promise<T>, timeoutMs: number): Promise<T> {
   let timer: NodeJS.Timeout
-  const late = new Promise<never>((_resolve, reject) => {
+  const timedOut = new Promise<never>((_resolve, reject) => {
     timer = setTimeout(() => reject(new Error(`no answer within ${timeoutMs} ms`)), timeoutMs)
   })
-  return Promise.race([answer, late]).finally(() => clearTimeout(timer))
+  return Promise.race([answer, timedOut]).finally(() => clearTimeout(timer))
 }
--- a/packages/bendfall-edge/src/ledger/BendfallEdgeLedgerServer.ts
+++ b/packages/bendfall-edge/src/ledger/BendfallEdgeLedgerServer.ts
@@ -50,25 +50,25 @@
   const { clock, logger } = options
   const state = createLedgerState(options.decisions)
   const loop = createUpdateLoop<LedgerEvent, LedgerEffect>((event) => reduceLedger(state, event), clock)
-  const waiting = new Map<string, (answer: LedgerAnswer) => void>()
-  const confirming = new Map<string, (isFree: boolean) => void>()
+  const pendingReserves = new Map<string, (answer: LedgerAnswer) => void>()
+  const pendingConfirms = new Map<string, (isFree: boolean) => void>()
   const reports = followReports({ ...options, loop, state: () => state })
 
   loop.registerEffect('read_report', reports.wanted)
   loop.registerEffect('confirmed', ({ bookingId, isFree }) => {
     logger.info('booking_confirmed', { booking: bookingId, isFree, usedTokens: state.report?.usedTokens, capacityTokens: state.report?.capacityTokens, runs: state.lastRuns.size })
-    confirming.get(bookingId)?.(isFree)
-    confirming.delete(bookingId)
+    pendingConfirms.get(bookingId)?.(isFree)
+    pendingConfirms.delete(bookingId)
   })
   loop.registerEffect('answer', ({ bookingId, isGranted, retryAfterMs }) => {
     logger.info(isGranted ? 'booking_granted' : 'booking_refused', { booking: bookingId, retryAfterMs, bookings: state.bookings.size, waiting: state.waiting.length, runs: state.lastRuns.size, reportAgeMs: Math.round(clock.nowMs() - state.lastReportAtMs), roomTokens: loadOf(state, '', clock.nowMs()).roomTokens[0] })
-    waiting.get(bookingId)?.({ isGranted, isReplicaLost: false, retryAfterMs })
-    waiting.delete(bookingId)
+    pendingReserves.get(bookingId)?.({ isGranted, isReplicaLost: false, retryAfterMs })
+    pendingReserves.delete(bookingId)
   })
   loop.registerEffect('replica_lost', ({ bookingId }) => {
     logger.info('booking_refused', { booking: bookingId, cause: 'replica_lost', reportAgeMs: Math.round(clock.nowMs() - state.lastReportAtMs) })
-    waiting.get(bookingId)?.({ isGranted: false, isReplicaLost: true, retryAfterMs: 0 })
-    waiting.delete(bookingId)
+    pendingReserves.get(bookingId)?.({ isGranted: false, isReplicaLost: true, retryAfterMs: 0 })
+    pendingReserves.delete(bookingId)
   })
 
   function toLoad (): { stage: string, healthy: boolean, leaving: boolean, limitPerS: number | undefined, capacityTokens: number, roomTokens: number[], backlogTokens: number } {
@@ -76,25 +76,25 @@
     return { stage: load.stage ?? '', healthy: load.isHealthy, leaving: load.isLeaving === true, limitPerS: load.limitPerS, capacityTokens: load.capacityTokens, roomTokens: [...load.roomTokens], backlogTokens: load.backlogTokens }
   }
 
-  function ask (request: ReserveMemoryRequest, signal: AbortSignal): Promise<LedgerAnswer> {
+  function reserve (request: ReserveMemoryRequest, signal: AbortSignal): Promise<LedgerAnswer> {
     return new Promise((resolve) => {
-      waiting.set(request.bookingId, resolve)
+      pendingReserves.set(request.bookingId, resolve)
       signal.addEventListener('abort', () => {
-        if (!waiting.delete(request.bookingId)) return
+        if (!pendingReserves.delete(request.bookingId)) return
         loop.dispatch({ type: 'ask_withdrawn', bookingId: request.bookingId })
       }, { once: true })
-      loop.dispatch({ type: 'memory_asked', ask: toAsk(request) })
+      loop.dispatch({ type: 'memory_asked', ask: toBookingRequest(request) })
       clock.callAt(clock.nowMs() + request.maxWaitMs, () => loop.dispatch({ type: 'time_passed' }))
     })
   }
 
   const listener: PeerListener = await listenForPeers(options.listen, (_, streams) => {
     serveUnary(streams, LedgerService.method.reserve, async (request, signal) => {
-      const { isGranted, isReplicaLost, retryAfterMs } = await ask(request, signal)
+      const { isGranted, isReplicaLost, retryAfterMs } = await reserve(request, signal)
       return { granted: isGranted, replicaLost: isReplicaLost, retryAfterMs: Math.min(60_000, Math.round(retryAfterMs)), load: toLoad() }
     })
     serveUnary(streams, LedgerService.method.confirm, ({ bookingId, maxWaitMs }) => new Promise((resolve) => {
-      confirming.set(bookingId, (free) => resolve({ free }))
+      pendingConfirms.set(bookingId, (free) => resolve({ free }))
       loop.dispatch({ type: 'confirm_asked', bookingId, maxWaitMs })
     }))
     serveUnary(streams, LedgerService.method.release, ({ bookingId }) => {
@@ -114,7 +114,7 @@
   }
 }
 
-function toAsk (request: ReserveMemoryRequest): MemoryAsk {
+function toBookingRequest (request: ReserveMemoryRequest): MemoryAsk {
   const { bookingId, hintTokens, leadMs, maxOutputTokens, maxWaitMs, priority, promptTokens, readsInPlace, requestId, targetMs } = request
   return { bookingId, hintTokens, leadMs, maxOutputTokens, maxWaitMs, priority, promptTokens, readsInPlace, requestId, targetMs }
 }
--- a/packages/bendfall-edge/src/ledger/BendfallEdgeLedgerSessions.ts
+++ b/packages/bendfall-edge/src/ledger/BendfallEdgeLedgerSessions.ts
@@ -31,7 +31,7 @@
 export function createLedgerSessions (port: number): LedgerSessions {
   const ledgers = new Map<string, Ledger>()
 
-  function end (replicaId: string, { session }: Ledger): void {
+  function closeSession (replicaId: string, { session }: Ledger): void {
     ledgers.delete(replicaId)
     session?.abort()
   }
@@ -40,23 +40,23 @@
     of: (replicaId) => {
       const ledger = ledgers.get(replicaId)
       if (ledger === undefined) return undefined
-      ledger.session ??= open(ledger.address, port)
+      ledger.session ??= openSession(ledger.address, port)
       return ledger.session
     },
     keepOnly: (replicas) => {
       const addresses = new Map([...replicas].map(({ address, replicaId }) => [replicaId, address]))
       for (const [replicaId, ledger] of ledgers) {
         // A replica that started again under its id may be on another instance.
-        if (addresses.get(replicaId) !== ledger.address) end(replicaId, ledger)
+        if (addresses.get(replicaId) !== ledger.address) closeSession(replicaId, ledger)
       }
       for (const [replicaId, address] of addresses) {
         if (!ledgers.has(replicaId)) ledgers.set(replicaId, { address })
       }
     },
-    closeAll: () => { for (const [replicaId, ledger] of ledgers) end(replicaId, ledger) }
+    closeAll: () => { for (const [replicaId, ledger] of ledgers) closeSession(replicaId, ledger) }
   }
 }
 
-function open (address: string, port: number): AnsweringSessionManager {
+function openSession (address: string, port: number): AnsweringSessionManager {
   return createPeerSession(`${address.slice(0, address.lastIndexOf(':'))}:${port}`)
 }
--- a/packages/bendfall-edge/src/ledger/BendfallEdgeReportCalls.ts
+++ b/packages/bendfall-edge/src/ledger/BendfallEdgeReportCalls.ts
@@ -15,10 +15,10 @@
 const REPORT_TIMEOUT_MS = 400
 
 /** Longest body of a report. */
-const REPORT_BYTES = 262_144
+const MAX_REPORT_BYTES = 262_144
 
 /** Reports whose bodies are remembered, some kilobytes each; connections are opened anew then. */
-const MOST_REMEMBERED = 256
+const MAX_REMEMBERED_BODIES = 256
 
 const OK_STATUS = 200
 
@@ -43,7 +43,7 @@
    * Asks over a new connection, whose first answer is a second one to nothing, and goes on
    * with it; with the former one where that gives no report.
    */
-  readonly readAnew: () => Promise<ReadReport | undefined>
+  readonly readOnNewConnection: () => Promise<ReadReport | undefined>
   readonly close: () => void
 }
 
@@ -58,7 +58,7 @@
  */
 export function createReportCalls (address: string, dialect: ReplicaDialect, clock: Clock): ReportCalls {
   let source = openSource(address)
-  let asked = 0
+  let requestCount = 0
   let isClosed = false
 
   function toReport (bodies: Set<string>, { body, headers, status }: Extract<OwnCallOutcome, { readonly type: 'answered' }>): ReadReport | undefined {
@@ -69,11 +69,11 @@
     return report === undefined ? undefined : { report, isRepeat }
   }
 
-  function ask ({ bodies, pool }: ReportSource): Promise<ReadReport | undefined> {
-    asked += 1
-    const request = { ...dialect.report, headers: [], requestId: `report-${asked}` }
+  function fetchReport ({ bodies, pool }: ReportSource): Promise<ReadReport | undefined> {
+    requestCount += 1
+    const request = { ...dialect.report, headers: [], requestId: `report-${requestCount}` }
     return new Promise((resolve) => {
-      startOwnCall(pool, request, { clock, timeoutMs: REPORT_TIMEOUT_MS, maxBytes: REPORT_BYTES }, (answer) => {
+      startOwnCall(pool, request, { clock, timeoutMs: REPORT_TIMEOUT_MS, maxBytes: MAX_REPORT_BYTES }, (answer) => {
         resolve(answer.type === 'answered' ? toReport(bodies, answer) : undefined)
       })
     })
@@ -81,21 +81,21 @@
 
   // A replica that is full takes no new connection; the one that it has must not be given
   // up for it: of 20 reports asked so 18 failed, and the replica counted as lost.
-  async function readAnew (): Promise<ReadReport | undefined> {
-    const next = openSource(address)
-    const read = await ask(next)
+  async function readOnNewConnection (): Promise<ReadReport | undefined> {
+    const newSource = openSource(address)
+    const read = await fetchReport(newSource)
     if (read === undefined || isClosed) {
-      next.pool.destroy()
+      newSource.pool.destroy()
       return undefined
     }
     source.pool.destroy()
-    source = next
+    source = newSource
     return read
   }
 
   async function read (): Promise<ReadReport | undefined> {
-    const renewed = source.bodies.size >= MOST_REMEMBERED ? await readAnew() : undefined
-    return renewed ?? await ask(source)
+    const readOnNew = source.bodies.size >= MAX_REMEMBERED_BODIES ? await readOnNewConnection() : undefined
+    return readOnNew ?? await fetchReport(source)
   }
 
   function close (): void {
@@ -103,7 +103,7 @@
     source.pool.destroy()
   }
 
-  return { read, readAnew, close }
+  return { read, readOnNewConnection, close }
 }
 
 function openSource (address: string): ReportSource {
--- a/packages/bendfall-edge/src/ledger/BendfallEdgeReports.ts
+++ b/packages/bendfall-edge/src/ledger/BendfallEdgeReports.ts
@@ -56,16 +56,16 @@
   const { clock, dialect, logger, loop, replicaAddress, state } = options
   const calls = createReportCalls(replicaAddress, dialect, clock)
   const ended = new AbortController()
-  const wanted = createSignal(clock)
+  const wakeUp = createSignal(clock)
   let failures = 0
 
-  function noteFailure (): void {
+  function recordFailure (): void {
     failures += 1
     if (failures === FAILURES_TO_UNHEALTHY) logger.warn('replica_lost', { address: replicaAddress })
     if (failures >= FAILURES_TO_UNHEALTHY) loop.dispatch({ type: 'report_failed' })
   }
 
-  function noteReport (report: EngineReport, askedAtMs: number): void {
+  function recordReport (report: EngineReport, askedAtMs: number): void {
     if (failures >= FAILURES_TO_UNHEALTHY) logger.info('replica_regained', { address: replicaAddress })
     failures = 0
     if (incarnationOf(state(), report) !== 'same') logger.info('replica_restarted', { address: replicaAddress, formerStartedAtMs: state().report?.startedAtMs, startedAtMs: report.startedAtMs })
@@ -75,23 +75,23 @@
 
   async function readReport (): Promise<ReadReport | undefined> {
     const read = await calls.read()
-    if (read === undefined || !mayMislead(state(), read)) return read
-    return await calls.readAnew() ?? read
+    if (read === undefined || !isSuspectRepeat(state(), read)) return read
+    return await calls.readOnNewConnection() ?? read
   }
 
-  async function follow (): Promise<void> {
+  async function poll (): Promise<void> {
     while (!ended.signal.aborted) {
       const askedAtMs = clock.nowMs()
       const read = await readReport()
-      if (read === undefined) noteFailure()
-      else noteReport(read.report, askedAtMs)
-      await wanted.wait(periodOf(state(), askedAtMs), ended.signal)
+      if (read === undefined) recordFailure()
+      else recordReport(read.report, askedAtMs)
+      await wakeUp.wait(pollPeriodMs(state(), askedAtMs), ended.signal)
     }
   }
 
-  follow().catch((error: unknown) => logger.error('report_loop_ended', { error }))
+  poll().catch((error: unknown) => logger.error('report_loop_ended', { error }))
   return {
-    wanted: () => wanted.notify(),
+    wanted: () => wakeUp.notify(),
     close: () => {
       ended.abort()
       calls.close()
@@ -101,14 +101,14 @@
 
 // Reports of a replica that works differ from one to the next. One that came before may be a
 // second answer: it would confirm memory that is taken by now, or end runs that have begun.
-function mayMislead (state: LedgerState, { isRepeat, report }: ReadReport): boolean {
+function isSuspectRepeat (state: LedgerState, { isRepeat, report }: ReadReport): boolean {
   if (!isRepeat) return false
   const isConfirming = [...state.bookings.values()].some(({ confirm }) => confirm !== undefined)
   return isConfirming || report.active > 0 || state.lastRuns.size > 0
 }
 
 // A confirmation that came while the report was on its way needs another one at once.
-function periodOf (state: LedgerState, reportAskedAtMs: number): number {
+function pollPeriodMs (state: LedgerState, reportAskedAtMs: number): number {
   const confirms = [...state.bookings.values()].flatMap(({ confirm }) => confirm ?? [])
   if (confirms.some(({ askedAtMs }) => askedAtMs > reportAskedAtMs)) return 0
   if (confirms.length > 0) return CONFIRM_PERIOD_MS
--- a/packages/bendfall-edge/src/limits/BendfallEdgeLimitDocument.ts
+++ b/packages/bendfall-edge/src/limits/BendfallEdgeLimitDocument.ts
@@ -15,13 +15,13 @@
 export const LIMITS_KEY = 'bendfall/limits/named'
 
 /** Changes within this are written at once. */
-const GATHER_MS = 50
+const BATCH_DELAY_MS = 50
 
 /** Between two writes at least. */
-const REST_MS = 250
+const MIN_WRITE_INTERVAL_MS = 250
 
 /** Limits in the document: a value of the service has bounds, and the others are heard in answers. */
-const MOST_TOLD = 1_000
+const MAX_PUBLISHED_LIMITS = 1_000
 
 const NO_REVISION = 0
 
@@ -31,7 +31,7 @@
   properties: {
     limits: {
       type: 'array',
-      maxItems: MOST_TOLD,
+      maxItems: MAX_PUBLISHED_LIMITS,
       items: { type: 'object', required: ['processName', 'perS'], properties: { processName: { type: 'string', minLength: 1 }, perS: { type: 'number', minimum: 0 } } }
     }
   }
@@ -72,16 +72,16 @@
 
   async function writeLatest (): Promise<void> {
     for (let value = latest; value !== undefined && !ended.signal.aborted; value = latest) {
-      await pause(clock, GATHER_MS, ended.signal)
+      await pause(clock, BATCH_DELAY_MS, ended.signal)
       value = latest ?? value
       if (!ended.signal.aborted && await write(value) && latest === value) latest = undefined
-      await pause(clock, REST_MS, ended.signal)
+      await pause(clock, MIN_WRITE_INTERVAL_MS, ended.signal)
     }
   }
 
   return {
     publish: (limits) => {
-      latest = JSON.stringify({ limits: limits.slice(0, MOST_TOLD) })
+      latest = JSON.stringify({ limits: limits.slice(0, MAX_PUBLISHED_LIMITS) })
       if (isWriting) return
       isWriting = true
       writeLatest().catch((error: unknown) => logger.warn('limits_not_published', { error })).finally(() => { isWriting = false })
--- a/packages/bendfall-edge/src/limits/BendfallEdgePermitDuty.ts
+++ b/packages/bendfall-edge/src/limits/BendfallEdgePermitDuty.ts
@@ -22,14 +22,14 @@
 const TIMING: LeaseTiming = { leaseMs: 2_000, renewMs: 500, marginMs: 300, firstLookMs: 400, longestLookMs: 1_000 }
 
 /** Entries that see the key free take it one after the other, within this. */
-const SPREAD_MS = 300
+const CHECK_JITTER_MS = 300
 
 /**
  * A keeper that does not reach the key-value service leases a part of the limits for a time after
  * its lease: what the platform allows beyond a limit suffices for it and for a keeper that others chose.
  */
-const LAPSED_SHARE = 0.25
-const LAPSED_MS = 10_000
+const EXPIRED_LEASE_SHARE = 0.25
+const EXPIRED_LEASE_GRACE_MS = 10_000
 
 /** What the duty needs. */
 export interface PermitDutyOptions {
@@ -45,7 +45,7 @@
 /** The duty of this entry. */
 export interface PermitDuty {
   /** Leases permits, if this entry holds the duty. */
-  readonly lease: (ask: PermitAsk) => PermitOutcome
+  readonly lease: (request: PermitAsk) => PermitOutcome
   /** Looks whether the duty is free: news came of it. */
   readonly look: () => void
   /** @returns whether this entry holds the duty */
@@ -61,44 +61,44 @@
  * @returns the duty
  */
 export function joinPermitDuty ({ clock, logger, own, placeOf, port }: PermitDutyOptions): PermitDuty {
-  const mayLookAtMs = clock.nowMs() + Math.random() * SPREAD_MS
-  const election = joinElection({ port, clock, logger, key: PERMITS_KEY, holder: encodeKeeper(own), timing: TIMING, takesOverOwn: true, newsOf })
+  const candidateFromMs = clock.nowMs() + Math.random() * CHECK_JITTER_MS
+  const election = joinElection({ port, clock, logger, key: PERMITS_KEY, holder: encodeKeeper(own), timing: TIMING, takesOverOwn: true, readAvailability })
   const publisher = createLimitPublisher({ port, clock, logger })
-  let keeper: PermitKeeper | undefined
-  let isLeft = false
-  let cancelLook: Teardown = () => {}
+  let leaderState: PermitKeeper | undefined
+  let hasResigned = false
+  let cancelCheck: Teardown = () => {}
 
-  function newsOf (): HolderNews {
-    const place = placeOf()
-    if (place !== undefined && place.instanceId !== own.instanceId) return 'held'
-    return place === undefined && clock.nowMs() < mayLookAtMs ? 'left_alone' : 'free'
+  function readAvailability (): HolderNews {
+    const leader = placeOf()
+    if (leader !== undefined && leader.instanceId !== own.instanceId) return 'held'
+    return leader === undefined && clock.nowMs() < candidateFromMs ? 'left_alone' : 'free'
   }
 
   // What another process leased under the duty before is not known, so that each time begins anew.
-  function shareNow (): number {
-    const span = election.lastHeld()
-    if (span === undefined || isLeft) return 0
-    if (keeper?.sinceMs !== span.sinceMs) keeper = createPermitKeeper(span.sinceMs)
+  function currentShare (): number {
+    const term = election.lastHeld()
+    if (term === undefined || hasResigned) return 0
+    if (leaderState?.sinceMs !== term.sinceMs) leaderState = createPermitKeeper(term.sinceMs)
     if (election.fence() !== undefined) return 1
-    return placeOf()?.instanceId === own.instanceId && clock.nowMs() - span.untilMs < LAPSED_MS ? LAPSED_SHARE : 0
+    return placeOf()?.instanceId === own.instanceId && clock.nowMs() - term.untilMs < EXPIRED_LEASE_GRACE_MS ? EXPIRED_LEASE_SHARE : 0
   }
 
-  function lease (ask: PermitAsk): PermitOutcome {
-    const share = shareNow()
-    if (keeper === undefined || share === 0) return { type: 'unreachable' }
-    const former = keeper.limits.get(ask.processName)?.perS
-    const outcome = leasePermits(keeper, ask, clock.nowMs(), share)
-    if (keeper.limits.get(ask.processName)?.perS !== former) publisher.publish(namedLimits(keeper))
+  function lease (request: PermitAsk): PermitOutcome {
+    const share = currentShare()
+    if (leaderState === undefined || share === 0) return { type: 'unreachable' }
+    const previousPerS = leaderState.limits.get(request.processName)?.perS
+    const outcome = leasePermits(leaderState, request, clock.nowMs(), share)
+    if (leaderState.limits.get(request.processName)?.perS !== previousPerS) publisher.publish(namedLimits(leaderState))
     return outcome
   }
 
   return {
     lease,
     look: () => {
-      cancelLook()
-      cancelLook = clock.callAt(clock.nowMs() + Math.random() * SPREAD_MS, election.look)
+      cancelCheck()
+      cancelCheck = clock.callAt(clock.nowMs() + Math.random() * CHECK_JITTER_MS, election.look)
     },
     holds: () => election.fence() !== undefined,
-    close: combineTeardowns([() => cancelLook(), () => { isLeft = true }, publisher.close, election.close])
+    close: combineTeardowns([() => cancelCheck(), () => { hasResigned = true }, publisher.close, election.close])
   }
 }
--- a/packages/bendfall-edge/src/limits/BendfallEdgePermits.ts
+++ b/packages/bendfall-edge/src/limits/BendfallEdgePermits.ts
@@ -29,7 +29,7 @@
   /** Serves other entries. */
   readonly serve: (streams: StreamRoutes) => void
   /** Takes what the key-value service tells of the keeper. */
-  readonly learn: (present: readonly KeyValueEntry[], goneKeys: readonly string[]) => void
+  readonly learn: (entries: readonly KeyValueEntry[], removedKeys: readonly string[]) => void
   /** @returns whether this entry keeps the limits */
   readonly holds: () => boolean
   /** Leaves the duty to others, before the process stops. */
@@ -48,23 +48,23 @@
   const { clock } = loop
   const ended = new AbortController()
   const client = createKeeperClient({ clock, logger, own, key: PERMITS_KEY })
-  const duty = joinPermitDuty({ ...options, clock, placeOf: client.place })
+  const election = joinPermitDuty({ ...options, clock, placeOf: client.place })
 
-  async function lease (ask: PermitAsk): Promise<PermitOutcome> {
-    const here = duty.lease(ask)
-    if (here.type === 'leased') return here
-    const answer = await client.ask((session, options) => callUnary(session, PermitService.method.lease, ask, options))
-    return answer === undefined ? { type: 'unreachable' } : toOutcome(answer)
+  async function lease (request: PermitAsk): Promise<PermitOutcome> {
+    const localOutcome = election.lease(request)
+    if (localOutcome.type === 'leased') return localOutcome
+    const response = await client.ask((session, options) => callUnary(session, PermitService.method.lease, request, options))
+    return response === undefined ? { type: 'unreachable' } : toOutcome(response)
   }
 
-  async function answer ({ ask, inMs, replicaId }: RouterEffectOf<'ask_permits'>): Promise<void> {
+  async function handleAskPermits ({ ask, inMs, replicaId }: RouterEffectOf<'ask_permits'>): Promise<void> {
     if (inMs > 0) await pause(clock, inMs, ended.signal)
     const outcome = await lease({ ...ask, heardAgoMs: ask.heardAgoMs + inMs, sentAgoMs: ask.sentAgoMs + inMs })
     loop.dispatch({ type: 'permits_answered', replicaId, ask, outcome })
   }
 
-  function learnDocument (present: readonly KeyValueEntry[]): void {
-    const entry = present.find(({ key }) => key === LIMITS_KEY)
+  function applyLimits (entries: readonly KeyValueEntry[]): void {
+    const entry = entries.find(({ key }) => key === LIMITS_KEY)
     if (entry === undefined) return
     const limits = decodeLimits(entry.value)
     if (limits.isOk()) loop.dispatch({ type: 'limits_learned', limits: limits.value })
@@ -72,23 +72,23 @@
   }
 
   const unregister = loop.registerEffect('ask_permits', (effect) => {
-    answer(effect).catch((error: unknown) => logger.error('ask_permits_failed', { replica: effect.replicaId, error }))
+    handleAskPermits(effect).catch((error: unknown) => logger.error('ask_permits_failed', { replica: effect.replicaId, error }))
   })
 
   return {
     serve: (streams) => {
       serveUnary(streams, PermitService.method.lease, (ask) => {
-        const outcome = duty.lease(ask)
+        const outcome = election.lease(ask)
         return outcome.type === 'leased' ? { holds: true, ...outcome, type: undefined } : { holds: false }
       })
     },
-    learn: (present, goneKeys) => {
-      if (client.learn(present, goneKeys)) duty.look()
-      learnDocument(present)
+    learn: (entries, removedKeys) => {
+      if (client.learn(entries, removedKeys)) election.look()
+      applyLimits(entries)
     },
-    holds: duty.holds,
-    leave: duty.close,
-    close: combineTeardowns([() => ended.abort(), unregister, duty.close, client.close])
+    holds: election.holds,
+    leave: election.close,
+    close: combineTeardowns([() => ended.abort(), unregister, election.close, client.close])
   }
 }
 
--- a/packages/bendfall-edge/src/observe/BendfallEdgeDecisionLog.ts
+++ b/packages/bendfall-edge/src/observe/BendfallEdgeDecisionLog.ts
@@ -13,7 +13,7 @@
 const BEYOND_ALLOTMENT_STATUS = 429
 
 /** Customers that have counters of their own; the others are counted together. */
-const MOST_COUNTED_CUSTOMERS = 1_000
+const MAX_COUNTED_CUSTOMERS = 1_000
 
 /**
  * Registers the effect `log`.
@@ -40,7 +40,7 @@
 function createCustomerCounter (metrics: Metrics): (customer: string, outcome: string) => void {
   const counted = new Set<string>()
   return (customer, outcome) => {
-    if (counted.size < MOST_COUNTED_CUSTOMERS) counted.add(customer)
+    if (counted.size < MAX_COUNTED_CUSTOMERS) counted.add(customer)
     metrics.count('bendfall_customer_requests_total', { customer: counted.has(customer) ? customer : 'other', outcome })
   }
 }
--- a/packages/bendfall-edge/src/observe/BendfallEdgeLogOutput.ts
+++ b/packages/bendfall-edge/src/observe/BendfallEdgeLogOutput.ts
@@ -30,7 +30,7 @@
  */
 export function createLogOutput (stream: Writable): LogOutput {
   let droppedTotal = 0
-  let droppedSinceTold = 0
+  let unreportedDropped = 0
   // A reader that is gone costs lines, not the process.
   stream.on('error', () => { droppedTotal += 1 })
 
@@ -40,12 +40,12 @@
       const limit = IMPORTANT_LINE.test(line) ? HARD_LIMIT_BYTES : SOFT_LIMIT_BYTES
       if (stream.writableLength > limit) {
         droppedTotal += 1
-        droppedSinceTold += 1
+        unreportedDropped += 1
         return
       }
-      if (droppedSinceTold > 0) {
-        stream.write(`time=${new Date().toISOString()} level=warn event=log_lines_dropped lines=${droppedSinceTold}\n`)
-        droppedSinceTold = 0
+      if (unreportedDropped > 0) {
+        stream.write(`time=${new Date().toISOString()} level=warn event=log_lines_dropped lines=${unreportedDropped}\n`)
+        unreportedDropped = 0
       }
       stream.write(line)
     }
--- a/packages/bendfall-edge/src/observe/BendfallEdgeMetrics.ts
+++ b/packages/bendfall-edge/src/observe/BendfallEdgeMetrics.ts
@@ -23,7 +23,7 @@
 }
 
 /** Latencies beyond this are counted as this. */
-const LONGEST_MS = 60_000
+const MAX_TRACKED_MS = 60_000
 
 const QUANTILES: readonly number[] = [0.5, 0.9, 0.99]
 
@@ -44,9 +44,9 @@
     },
     measureMs: (name, valueMs, labels = {}) => {
       const key = seriesOf(name, labels)
-      const known = histograms.get(key) ?? build({ bitBucketSize: 32, autoResize: false, lowestDiscernibleValue: 1, highestTrackableValue: LONGEST_MS, numberOfSignificantValueDigits: 2 })
-      histograms.set(key, known)
-      known.recordValue(Math.min(LONGEST_MS, Math.max(0, Math.round(valueMs))))
+      const histogram = histograms.get(key) ?? build({ bitBucketSize: 32, autoResize: false, lowestDiscernibleValue: 1, highestTrackableValue: MAX_TRACKED_MS, numberOfSignificantValueDigits: 2 })
+      histograms.set(key, histogram)
+      histogram.recordValue(Math.min(MAX_TRACKED_MS, Math.max(0, Math.round(valueMs))))
     },
     gauge: (name, read) => { gauges.set(name, read) },
     text: () => [
--- a/packages/bendfall-edge/src/peer/BendfallEdgeKeeperClient.ts
+++ b/packages/bendfall-edge/src/peer/BendfallEdgeKeeperClient.ts
@@ -11,10 +11,10 @@
 import { createPeerSession } from './BendfallEdgePeerSession.js'
 
 /** A keeper that takes longer counts as slow, and an ask is given up then unless it says otherwise. */
-const ASK_TIMEOUT_MS = 80
+const CALL_TIMEOUT_MS = 80
 
 /** While a keeper is slow it is not asked, for so long. */
-const PAUSE_MS = 250
+const BACKOFF_MS = 250
 
 /** What a client needs. */
 export interface KeeperClientOptions {
@@ -46,18 +46,18 @@
    *
    * @returns whether another entry is the keeper now, or none
    */
-  readonly learn: (present: readonly KeyValueEntry[], goneKeys: readonly string[]) => boolean
+  readonly learn: (entries: readonly KeyValueEntry[], removedKeys: readonly string[]) => boolean
   /** @returns the keeper's answer; undefined when there is none in time, or no other entry to ask */
-  readonly ask: <T>(call: KeeperCall<T>, options?: KeeperAskOptions) => Promise<T | undefined>
+  readonly ask: <T>(makeCall: KeeperCall<T>, options?: KeeperAskOptions) => Promise<T | undefined>
   /** Tells the keeper what needs no answer. */
-  readonly tell: (call: KeeperCall<unknown>) => void
+  readonly tell: (makeCall: KeeperCall<unknown>) => void
   readonly close: () => void
 }
 
-interface Keeper {
-  readonly place: KeeperPlace
+interface KnownLeader {
+  readonly endpoint: KeeperPlace
   readonly session: AnsweringSessionManager
-  pausedUntilMs: number
+  backoffUntilMs: number
 }
 
 /**
@@ -67,51 +67,51 @@
  * @returns the way
  */
 export function createKeeperClient ({ clock, key, logger, own }: KeeperClientOptions): KeeperClient {
-  let keeper: Keeper | undefined
+  let leader: KnownLeader | undefined
 
-  function set (place: KeeperPlace | undefined): boolean {
-    if (keeper?.place.address === place?.address && keeper?.place.instanceId === place?.instanceId) return false
-    keeper?.session.abort()
-    keeper = place === undefined ? undefined : { place, session: createPeerSession(place.address), pausedUntilMs: -Infinity }
-    logger.info('keeper', { key, keeper: place?.instanceId })
+  function setLeader (endpoint: KeeperPlace | undefined): boolean {
+    if (leader?.endpoint.address === endpoint?.address && leader?.endpoint.instanceId === endpoint?.instanceId) return false
+    leader?.session.abort()
+    leader = endpoint === undefined ? undefined : { endpoint, session: createPeerSession(endpoint.address), backoffUntilMs: -Infinity }
+    logger.info('keeper', { key, keeper: endpoint?.instanceId })
     return true
   }
 
-  function learn (present: readonly KeyValueEntry[], goneKeys: readonly string[]): boolean {
-    const entry = present.find((one) => one.key === key)
-    if (entry === undefined) return goneKeys.includes(key) && set(undefined)
-    const place = decodeKeeper(entry.value, key)
-    if (place.isErr()) logger.warn('keeper_unreadable', { key, revision: entry.revision, detail: place.error })
-    return set(place.unwrapOr(undefined))
+  function learn (entries: readonly KeyValueEntry[], removedKeys: readonly string[]): boolean {
+    const entry = entries.find((one) => one.key === key)
+    if (entry === undefined) return removedKeys.includes(key) && setLeader(undefined)
+    const endpoint = decodeKeeper(entry.value, key)
+    if (endpoint.isErr()) logger.warn('keeper_unreadable', { key, revision: entry.revision, detail: endpoint.error })
+    return setLeader(endpoint.unwrapOr(undefined))
   }
 
-  async function ask <T> (call: KeeperCall<T>, { ignoresPause = false, longestMs = ASK_TIMEOUT_MS }: KeeperAskOptions = {}): Promise<T | undefined> {
-    const asked = keeper
-    if (asked === undefined || asked.place.instanceId === own.instanceId) return undefined
-    if (asked.pausedUntilMs > clock.nowMs() && !ignoresPause) return undefined
-    const cancelPause = clock.callAt(clock.nowMs() + ASK_TIMEOUT_MS, () => pause(asked))
+  async function ask <T> (makeCall: KeeperCall<T>, { ignoresPause = false, longestMs = CALL_TIMEOUT_MS }: KeeperAskOptions = {}): Promise<T | undefined> {
+    const target = leader
+    if (target === undefined || target.endpoint.instanceId === own.instanceId) return undefined
+    if (target.backoffUntilMs > clock.nowMs() && !ignoresPause) return undefined
+    const cancelBackoff = clock.callAt(clock.nowMs() + CALL_TIMEOUT_MS, () => startBackoff(target))
     try {
-      return await withTimeout(call(asked.session, { timeoutMs: longestMs }), longestMs)
+      return await withTimeout(makeCall(target.session, { timeoutMs: longestMs }), longestMs)
     } catch (error) {
-      logger.warn('keeper_unreachable', { key, keeper: asked.place.instanceId, error })
-      pause(asked)
+      logger.warn('keeper_unreachable', { key, keeper: target.endpoint.instanceId, error })
+      startBackoff(target)
       return undefined
     } finally {
-      cancelPause()
+      cancelBackoff()
     }
   }
 
-  function pause (asked: Keeper): void {
-    asked.pausedUntilMs = clock.nowMs() + PAUSE_MS
+  function startBackoff (target: KnownLeader): void {
+    target.backoffUntilMs = clock.nowMs() + BACKOFF_MS
   }
 
-  function tell (call: KeeperCall<unknown>): void {
-    if (keeper === undefined) return
-    const { place, session } = keeper
-    call(session, { timeoutMs: ASK_TIMEOUT_MS }).catch((error: unknown) => {
-      logger.debug('keeper_not_told', { key, keeper: place.instanceId, error })
+  function tell (makeCall: KeeperCall<unknown>): void {
+    if (leader === undefined) return
+    const { endpoint, session } = leader
+    makeCall(session, { timeoutMs: CALL_TIMEOUT_MS }).catch((error: unknown) => {
+      logger.debug('keeper_not_told', { key, keeper: endpoint.instanceId, error })
     })
   }
 
-  return { place: () => keeper?.place, learn, ask, tell, close: () => keeper?.session.abort() }
+  return { place: () => leader?.endpoint, learn, ask, tell, close: () => leader?.session.abort() }
 }
--- a/packages/bendfall-edge/src/peer/BendfallEdgeKeeperPlace.ts
+++ b/packages/bendfall-edge/src/peer/BendfallEdgeKeeperPlace.ts
@@ -13,7 +13,7 @@
   readonly address: string
 }
 
-const PLACE_SCHEMA = {
+const ENDPOINT_SCHEMA = {
   type: 'object',
   required: ['instanceId', 'address'],
   properties: { instanceId: { type: 'string', minLength: 1 }, address: { type: 'string', format: 'ip-port' } }
@@ -37,6 +37,6 @@
  * @returns the entry, or what is wrong with the text
  */
 export function decodeKeeper (text: string, key: string): Result<KeeperPlace, string> {
-  const checked = parseDocument(text, key).andThen((document) => checkDocument<KeeperPlace>(PLACE_SCHEMA, document, key))
+  const checked = parseDocument(text, key).andThen((document) => checkDocument<KeeperPlace>(ENDPOINT_SCHEMA, document, key))
   return checked.mapErr((findings) => findings.map(({ expected, found, pointer }) => `${pointer}: expected ${expected}, found ${found}`).join('; '))
 }
--- a/packages/bendfall-edge/src/pools/BendfallEdgeFormerHolders.ts
+++ b/packages/bendfall-edge/src/pools/BendfallEdgeFormerHolders.ts
@@ -12,7 +12,7 @@
 import type { KeyValuePort } from 'bendfall-platform'
 
 /** What it needs. */
-export interface FormerHolderOptions {
+export interface PreviousLeaderOptions {
   readonly port: KeyValuePort
   readonly clock: Clock
   /** Key of the duty; what is written down stands below it. */
@@ -21,16 +21,16 @@
 }
 
 /** What is known of holders of former eras. */
-export interface FormerHolders {
+export interface PreviousLeaders {
   /**
    * Tells whether one may act. Asked after an answer of the service, which tells its era.
    *
    * @param isOwnKey - whether the key names this instance, whose former process has ended
    * @returns true while one may act
    */
-  readonly mayAct: (isOwnKey: boolean) => Promise<boolean>
+  readonly mayStillAct: (isOwnKey: boolean) => Promise<boolean>
   /** Writes down that the era has lasted, once it has; for the holder of the duty. */
-  readonly settle: () => Promise<void>
+  readonly recordSettledEra: () => Promise<void>
   readonly close: Teardown
 }
 
@@ -46,7 +46,7 @@
  * @param options - service, and duty
  * @returns what is known
  */
-export function watchFormerHolders ({ clock, key, leaseMs, port }: FormerHolderOptions): FormerHolders {
+export function watchPreviousLeaders ({ clock, key, leaseMs, port }: PreviousLeaderOptions): PreviousLeaders {
   const settledKey = `${key}/settled`
   const startedAtMs = clock.nowMs()
   let eraSeenAtMs = -Infinity
@@ -54,11 +54,11 @@
 
   const stopListening = port.onEra?.(() => { eraSeenAtMs = clock.nowMs() })
   const currentEra = (): number => port.era?.() ?? NO_ERA
-  const hasPassed = (sinceMs: number): boolean => clock.nowMs() - sinceMs >= leaseMs
+  const hasLeaseElapsedSince = (sinceMs: number): boolean => clock.nowMs() - sinceMs >= leaseMs
 
-  async function mayAct (isOwnKey: boolean): Promise<boolean> {
-    if (!hasPassed(eraSeenAtMs)) return true
-    return !isOwnKey && !hasPassed(startedAtMs) && !await isSettled()
+  async function mayStillAct (isOwnKey: boolean): Promise<boolean> {
+    if (!hasLeaseElapsedSince(eraSeenAtMs)) return true
+    return !isOwnKey && !hasLeaseElapsedSince(startedAtMs) && !await isSettled()
   }
 
   // The era stands in the value: a copy of the key tells of the era in which it was written.
@@ -69,9 +69,9 @@
     return read.type === 'found' && read.entry.value === String(era) && currentEra() === era
   }
 
-  async function settle (): Promise<void> {
+  async function recordSettledEra (): Promise<void> {
     const era = currentEra()
-    if (era === NO_ERA || era === settledEra || !hasPassed(Math.max(eraSeenAtMs, startedAtMs))) return
+    if (era === NO_ERA || era === settledEra || !hasLeaseElapsedSince(Math.max(eraSeenAtMs, startedAtMs))) return
     const read = await port.get(settledKey)
     if (read.type === 'unavailable') return
     const isWritten = read.type === 'found' && read.entry.value === String(era)
@@ -84,5 +84,5 @@
     return written.type === 'applied'
   }
 
-  return { mayAct, settle, close: () => stopListening?.() }
+  return { mayStillAct, recordSettledEra, close: () => stopListening?.() }
 }
--- a/packages/bendfall-edge/src/pools/BendfallEdgeHolderLease.ts
+++ b/packages/bendfall-edge/src/pools/BendfallEdgeHolderLease.ts
@@ -11,7 +11,7 @@
 import type { Clock, Logger, Teardown } from 'bendfall-node'
 import { createSignal } from 'bendfall-node'
 import type { KeyValuePort } from 'bendfall-platform'
-import { watchFormerHolders } from './BendfallEdgeFormerHolders.js'
+import { watchPreviousLeaders } from './BendfallEdgeFormerHolders.js'
 
 /** What an election needs. */
 export interface HolderLeaseOptions {
@@ -25,7 +25,7 @@
   /** Absent: {@link POOLS_TIMING}. */
   readonly timing?: LeaseTiming
   /** What other news tell of the key; absent: it is looked up now and then. */
-  readonly newsOf?: () => HolderNews
+  readonly readAvailability?: () => HolderNews
   /** Whether the key of a former process of this instance may be taken over: no two processes have its address. */
   readonly takesOverOwn?: boolean
 }
@@ -80,11 +80,11 @@
 /** Of a key that does not exist. */
 const NO_REVISION = 0
 
-interface Held {
+interface HeldLease {
   readonly leaseId: string
   readonly fence: number
   readonly sinceMs: number
-  valid: Validity
+  validity: Validity
 }
 
 /** Until when a lease is valid, by both clocks: the monotonic one does not count a suspension. */
@@ -100,61 +100,61 @@
  * @returns the part
  */
 export function joinElection (options: HolderLeaseOptions): HolderLease {
-  const { clock, holder, key, logger, newsOf, port, takesOverOwn = false, timing = POOLS_TIMING } = options
+  const { clock, holder, key, logger, readAvailability, port, takesOverOwn = false, timing = POOLS_TIMING } = options
   const { firstLookMs, leaseMs, longestLookMs, marginMs, renewMs } = timing
   const ended = new AbortController()
-  const wanted = createSignal(clock)
-  let held: Held | undefined
+  const wakeUp = createSignal(clock)
+  let held: HeldLease | undefined
   let lastHeld: HeldSpan | undefined
-  let lookMs = firstLookMs
-  let eras = 0
-  const formerHolders = watchFormerHolders({ port, clock, key, leaseMs })
+  let checkIntervalMs = firstLookMs
+  let eraCount = 0
+  const previousLeaders = watchPreviousLeaders({ port, clock, key, leaseMs })
 
   const readClocks = (): Validity => ({ untilMs: clock.nowMs(), untilWallMs: clock.wallMs() })
 
-  function validFrom ({ untilMs, untilWallMs }: Validity): Validity {
+  function validityFrom ({ untilMs, untilWallMs }: Validity): Validity {
     return { untilMs: untilMs + leaseMs - marginMs, untilWallMs: untilWallMs + leaseMs - marginMs }
   }
 
-  const isValid = ({ valid }: Held): boolean => clock.nowMs() < valid.untilMs && clock.wallMs() < valid.untilWallMs
+  const isValid = ({ validity }: HeldLease): boolean => clock.nowMs() < validity.untilMs && clock.wallMs() < validity.untilWallMs
 
-  function lose (cause: string): void {
+  function loseLeadership (cause: string): void {
     if (held === undefined) return
     logger.warn('duty_lost', { key, fence: held.fence, cause })
     held = undefined
   }
 
   const stopListening = port.onEra?.(({ era, formerEra }) => {
-    eras += 1
-    lose(`era ${era} began after ${formerEra}`)
+    eraCount += 1
+    loseLeadership(`era ${era} began after ${formerEra}`)
   })
 
   // Revision at which the key may be taken; undefined when it may not.
-  async function readFree (): Promise<number | undefined> {
-    const news = newsOf?.()
-    if (news === 'left_alone' || news === 'held') return undefined
+  async function readVacantRevision (): Promise<number | undefined> {
+    const availability = readAvailability?.()
+    if (availability === 'left_alone' || availability === 'held') return undefined
     // Old news are good enough where only the write decides.
-    const read = await port.get(key, { mayBeOld: newsOf === undefined })
-    lookMs = read.type === 'found' ? Math.min(longestLookMs, 2 * lookMs) : firstLookMs
+    const read = await port.get(key, { mayBeOld: readAvailability === undefined })
+    checkIntervalMs = read.type === 'found' ? Math.min(longestLookMs, 2 * checkIntervalMs) : firstLookMs
     if (read.type === 'missing') return NO_REVISION
     return read.type === 'found' && takesOverOwn && read.entry.value === holder ? read.entry.revision : undefined
   }
 
-  async function take (): Promise<void> {
-    const erasBefore = eras
-    const expectedRevision = await readFree()
-    if (expectedRevision === undefined || await formerHolders.mayAct(expectedRevision !== NO_REVISION)) return
-    const asked = readClocks()
+  async function tryAcquire (): Promise<void> {
+    const eraCountBefore = eraCount
+    const expectedRevision = await readVacantRevision()
+    if (expectedRevision === undefined || await previousLeaders.mayStillAct(expectedRevision !== NO_REVISION)) return
+    const requestedAt = readClocks()
     const lease = await port.grantLease(leaseMs)
     if (lease.type !== 'granted') return
     const written = await port.compareAndSwap({ key, expectedRevision, value: holder, leaseId: lease.leaseId })
     const fence = written.type === 'applied' ? written.revision : written.type === 'unknown' ? await readBack(lease.leaseId) : undefined
-    if (fence === undefined || eras !== erasBefore) {
+    if (fence === undefined || eraCount !== eraCountBefore) {
       await port.revokeLease(lease.leaseId)
       return
     }
-    held = { leaseId: lease.leaseId, fence, sinceMs: clock.nowMs(), valid: validFrom(asked) }
-    noteHeld(held)
+    held = { leaseId: lease.leaseId, fence, sinceMs: clock.nowMs(), validity: validityFrom(requestedAt) }
+    recordTerm(held)
     logger.info('duty_taken', { key, fence })
   }
 
@@ -164,32 +164,32 @@
     return read.type === 'found' && read.entry.leaseId === leaseId ? read.entry.revision : undefined
   }
 
-  async function renew (own: Held): Promise<void> {
-    const asked = readClocks()
-    const outcome = await port.renewLease(own.leaseId)
+  async function renew (lease: HeldLease): Promise<void> {
+    const requestedAt = readClocks()
+    const outcome = await port.renewLease(lease.leaseId)
     if (outcome.type === 'granted') {
-      own.valid = validFrom(asked)
-      noteHeld(own)
-    } else if (outcome.type === 'lapsed') lose('lease lapsed')
-    else if (!isValid(own)) lose(outcome.detail)
-    if (outcome.type === 'granted') await formerHolders.settle()
+      lease.validity = validityFrom(requestedAt)
+      recordTerm(lease)
+    } else if (outcome.type === 'lapsed') loseLeadership('lease lapsed')
+    else if (!isValid(lease)) loseLeadership(outcome.detail)
+    if (outcome.type === 'granted') await previousLeaders.recordSettledEra()
   }
 
   async function run (): Promise<void> {
     while (!ended.signal.aborted) {
-      if (held === undefined) await take()
+      if (held === undefined) await tryAcquire()
       else await renew(held)
-      await wanted.wait(held === undefined ? lookMs * (0.5 + Math.random()) : renewMs, ended.signal)
+      await wakeUp.wait(held === undefined ? checkIntervalMs * (0.5 + Math.random()) : renewMs, ended.signal)
     }
   }
 
-  function noteHeld ({ sinceMs, valid }: Held): void {
-    lastHeld = { sinceMs, untilMs: valid.untilMs }
+  function recordTerm ({ sinceMs, validity }: HeldLease): void {
+    lastHeld = { sinceMs, untilMs: validity.untilMs }
   }
 
   // A lease that is not revoked lapses by itself.
-  function free (own: Held | undefined): void {
-    if (own !== undefined) port.revokeLease(own.leaseId).catch((error: unknown) => logger.warn('revoke_failed', { key, error }))
+  function releaseLease (lease: HeldLease | undefined): void {
+    if (lease !== undefined) port.revokeLease(lease.leaseId).catch((error: unknown) => logger.warn('revoke_failed', { key, error }))
   }
 
   run().catch((error: unknown) => logger.error('election_ended', { key, error }))
@@ -199,18 +199,18 @@
     lastHeld: () => lastHeld,
     // The key goes as well: the next holder, this one too, has a higher fencing token.
     giveUp: () => {
-      const own = held
-      lose('a replica has seen a higher fencing token')
-      free(own)
+      const lease = held
+      loseLeadership('a replica has seen a higher fencing token')
+      releaseLease(lease)
     },
-    look: () => { if (held === undefined) wanted.notify() },
+    look: () => { if (held === undefined) wakeUp.notify() },
     close: () => {
       ended.abort()
       stopListening?.()
-      formerHolders.close()
-      const own = held
+      previousLeaders.close()
+      const lease = held
       held = undefined
-      free(own)
+      releaseLease(lease)
     }
   }
 }
--- a/packages/bendfall-edge/src/pools/BendfallEdgePools.ts
+++ b/packages/bendfall-edge/src/pools/BendfallEdgePools.ts
@@ -50,20 +50,20 @@
     cancelTick = loop.clock.callAt(loop.clock.nowMs() + TICK_MS, tick)
   }
 
-  function takeOutcome (replicaId: string, outcome: OrderOutcome): void {
+  function handleOutcome (replicaId: string, outcome: OrderOutcome): void {
     if (outcome === 'fenced') election.giveUp()
     loop.dispatch({ type: 'order_answered', replicaId, outcome })
   }
 
-  function order ({ address, fence, replicaId, stage }: RouterEffectOf<'order_stage'>): void {
+  function sendOrder ({ address, fence, replicaId, stage }: RouterEffectOf<'order_stage'>): void {
     const sentAtMs = loop.clock.nowMs()
     const request = dialect.stageOrder({ replicaId, stage, fence, holder: instanceId })
     startOwnCall(poolOf(address), request, { clock: loop.clock, timeoutMs: ORDER_TIMEOUT_MS }, (answer) => {
       if (answer.type === 'answered') tellOwnNotice(options, { replicaId, sentAtMs }, answer)
-      takeOutcome(replicaId, answer.type === 'answered' ? dialect.readOrderStatus(answer.status) : answer.isSent ? 'unknown' : 'refused')
+      handleOutcome(replicaId, answer.type === 'answered' ? dialect.readOrderStatus(answer.status) : answer.isSent ? 'unknown' : 'refused')
     })
   }
 
   tick()
-  return combineTeardowns([election.close, () => cancelTick(), loop.registerEffect('order_stage', order)])
+  return combineTeardowns([election.close, () => cancelTick(), loop.registerEffect('order_stage', sendOrder)])
 }
