--- a/packages/bendfall-edge/src/observe/BendfallEdgeDecisionLog.ts
+++ b/packages/bendfall-edge/src/observe/BendfallEdgeDecisionLog.ts
@@ -1,5 +1,5 @@
 /**
- * Writes the decisions of an entry as log lines and counts their outcomes.
+ * Logs the decisions of an entry and counts the outcomes of requests in its metrics.
  *
  * @module
  */
@@ -12,15 +12,15 @@
 
 const BEYOND_ALLOTMENT_STATUS = 429
 
-/** Customers that have counters of their own; the others are counted together. */
+/** Maximum number of customers with their own counters; all others share the label `other`. */
 const MAX_COUNTED_CUSTOMERS = 1_000
 
 /**
- * Registers the effect `log`.
+ * Registers the handler of the effect `log`.
  *
- * @param loop - update path
- * @param logger - takes the lines
- * @param metrics - takes the counts
+ * @param loop - update loop that emits the effect
+ * @param logger - receives one line for each decision
+ * @param metrics - receives counters and latencies
  */
 export function registerDecisionLog (loop: UpdateLoop<RouterEvent, RouterEffect>, logger: Logger, metrics: Metrics): void {
   const countCustomer = createCustomerCounter(metrics)
@@ -46,12 +46,13 @@
 }
 
 /**
- * Logs and counts eras of the key-value service.
+ * Logs and counts new eras of the key-value service. An era begins when the service is
+ * restored from an older backup.
  *
- * @param port - of the service
- * @param logger - takes the lines
- * @param metrics - takes the count
- * @returns teardown
+ * @param port - key-value service
+ * @param logger - receives one line for each era
+ * @param metrics - receives the count
+ * @returns teardown that removes the listener
  */
 export function registerEraLog (port: KeyValuePort, logger: Logger, metrics: Metrics): Teardown {
   return port.onEra?.((change) => {
--- a/packages/bendfall-edge/src/observe/BendfallEdgeLogOutput.ts
+++ b/packages/bendfall-edge/src/observe/BendfallEdgeLogOutput.ts
@@ -1,37 +1,37 @@
 /**
- * Log lines to standard output, bounded: a reader that is slow or gone neither
- * stalls nor grows the process. Lines about failures are dropped last.
+ * Writes log lines to standard output with a bounded buffer, so that a slow or closed reader
+ * neither blocks the process nor makes its memory grow. Lines about failures are dropped last.
  *
  * @module
  */
 import type { Writable } from 'node:stream'
 
-/** Lines held for a slow reader; lines of served requests are dropped beyond it. */
+/** Buffered bytes above which lines about successful requests are dropped. */
 const SOFT_LIMIT_BYTES = 262_144
 
-/** All lines are dropped beyond this. */
+/** Buffered bytes above which all lines are dropped. */
 const HARD_LIMIT_BYTES = 1_048_576
 
-/** Lines that tell of something that went wrong, or of a change of belief. */
+/** Lines about failures, or about changes of configuration, replicas, store or ledgers. */
 const IMPORTANT_LINE = / level=(warn|error) | event=(refused|cut|retried|run_failed|prefill_failed|config|replica_|store_|ledger_|started|stopp)/
 
-/** Where lines go. */
+/** Bounded log output. */
 export interface LogOutput {
   readonly write: (line: string) => void
-  /** Lines dropped so far. */
+  /** @returns number of lines dropped since the process started */
   readonly dropped: () => number
 }
 
 /**
- * Makes the output.
+ * Creates a bounded log output.
  *
- * @param stream - standard output
+ * @param stream - destination, usually standard output
  * @returns the output
  */
 export function createLogOutput (stream: Writable): LogOutput {
   let droppedTotal = 0
   let unreportedDropped = 0
-  // A reader that is gone costs lines, not the process.
+  // Unhandled, a write error after the reader closed would end the process; it costs only log lines.
   stream.on('error', () => { droppedTotal += 1 })
 
   return {
--- a/packages/bendfall-edge/src/observe/BendfallEdgeMetrics.ts
+++ b/packages/bendfall-edge/src/observe/BendfallEdgeMetrics.ts
@@ -1,6 +1,5 @@
 /**
- * Counters and latency histograms of a process, served as text in the format
- * of Prometheus.
+ * Counters, gauges and latency histograms of a process, served in the Prometheus text format.
  *
  * @module
  */
@@ -16,19 +15,19 @@
 export interface Metrics {
   readonly count: (name: string, labels?: Labels) => void
   readonly measureMs: (name: string, valueMs: number, labels?: Labels) => void
-  /** Registers a gauge that is read when metrics are asked for. */
+  /** Registers a gauge that is read each time the metrics are rendered. */
   readonly gauge: (name: string, read: () => number) => void
-  /** @returns all metrics as text */
+  /** @returns all metrics in the Prometheus text format */
   readonly text: () => string
 }
 
-/** Latencies beyond this are counted as this. */
+/** Larger latencies are recorded as this value. */
 const MAX_TRACKED_MS = 60_000
 
 const QUANTILES: readonly number[] = [0.5, 0.9, 0.99]
 
 /**
- * Makes empty metrics.
+ * Creates an empty set of metrics.
  *
  * @returns the metrics
  */
@@ -59,9 +58,9 @@
 }
 
 /**
- * Makes the server of the metrics address; it does not listen yet.
+ * Creates the HTTP server of the metrics endpoint, without listening yet.
  *
- * @param metrics - what to serve
+ * @param metrics - metrics to serve
  * @returns the server
  */
 export function createMetricsServer (metrics: Metrics): Server {
--- a/packages/bendfall-edge/src/peer/BendfallEdgeKeeperClient.ts
+++ b/packages/bendfall-edge/src/peer/BendfallEdgeKeeperClient.ts
@@ -1,5 +1,6 @@
 /**
- * Asks the entry that keeps something for all of them, wherever it is.
+ * Calls the entry that is the elected leader for a key. The leader is discovered by a watch on
+ * the key-value service, and a leader that responds slowly is backed off from.
  *
  * @module
  */
@@ -10,46 +11,46 @@
 import type { KeeperPlace } from './BendfallEdgeKeeperPlace.js'
 import { createPeerSession } from './BendfallEdgePeerSession.js'
 
-/** A keeper that takes longer counts as slow, and an ask is given up then unless it says otherwise. */
+/** Default timeout of a call, and the time after which the leader counts as slow. */
 const CALL_TIMEOUT_MS = 80
 
-/** While a keeper is slow it is not asked, for so long. */
+/** Time for which a slow leader receives no calls, except those that ignore the backoff. */
 const BACKOFF_MS = 250
 
-/** What a client needs. */
+/** Options of a client. */
 export interface KeeperClientOptions {
   readonly clock: Clock
   readonly logger: Logger
-  /** This entry, which needs no call to itself. */
+  /** Endpoint of this entry, which makes no calls to itself. */
   readonly own: KeeperPlace
-  /** Key at which the keeper stands. */
+  /** Key that holds the leader's endpoint. */
   readonly key: string
 }
 
-/** Makes one call over a connection to the keeper, given up after a time. */
+/** Makes one call over a connection to the leader, with a timeout. */
 export type KeeperCall<T> = (session: AnsweringSessionManager, options: { readonly timeoutMs: number }) => Promise<T>
 
-/** How long an ask may take. */
+/** Timeout and backoff of a single request. */
 export interface KeeperAskOptions {
-  /** The answer is waited for so long. */
+  /** Maximum wait for the response; absent: {@link CALL_TIMEOUT_MS}. */
   readonly longestMs?: number
-  /** Whether a slow keeper is asked all the same. */
+  /** Whether the call is made even while the client backs off from a slow leader. */
   readonly ignoresPause?: boolean
 }
 
-/** Way to a keeper. */
+/** Client of an elected leader. */
 export interface KeeperClient {
-  /** @returns the keeper by the last word of the key-value service */
+  /** @returns endpoint of the leader by the last update from the key-value service */
   readonly place: () => KeeperPlace | undefined
   /**
-   * Takes what the key-value service tells.
+   * Applies an update from the watch on the key-value service.
    *
-   * @returns whether another entry is the keeper now, or none
+   * @returns whether the leader changed, to another entry or to none
    */
   readonly learn: (entries: readonly KeyValueEntry[], removedKeys: readonly string[]) => boolean
-  /** @returns the keeper's answer; undefined when there is none in time, or no other entry to ask */
+  /** @returns the leader's response; undefined when it timed out or failed, or when no other entry is the leader */
   readonly ask: <T>(makeCall: KeeperCall<T>, options?: KeeperAskOptions) => Promise<T | undefined>
-  /** Tells the keeper what needs no answer. */
+  /** Sends a message to the leader without waiting for the response. */
   readonly tell: (makeCall: KeeperCall<unknown>) => void
   readonly close: () => void
 }
@@ -61,10 +62,10 @@
 }
 
 /**
- * Makes the way to a keeper that is not known yet.
+ * Creates a client whose leader is unknown until the first update.
  *
- * @param options - key and this entry
- * @returns the way
+ * @param options - key of the leader and endpoint of this entry
+ * @returns the client
  */
 export function createKeeperClient ({ clock, key, logger, own }: KeeperClientOptions): KeeperClient {
   let leader: KnownLeader | undefined
--- a/packages/bendfall-edge/src/peer/BendfallEdgeKeeperPlace.ts
+++ b/packages/bendfall-edge/src/peer/BendfallEdgeKeeperPlace.ts
@@ -1,15 +1,16 @@
 /**
- * Which entry keeps something for all of them, as it stands in the key-value service.
+ * Encodes and decodes the document in the key-value service by which an elected leader
+ * announces its instance and address.
  *
  * @module
  */
 import { checkDocument, parseDocument } from 'bendfall-node'
 import type { Result } from 'ts-results-es'
 
-/** An entry that keeps something. */
+/** Instance and address of an entry that is, or may become, a leader. */
 export interface KeeperPlace {
   readonly instanceId: string
-  /** `ip:port` at which other entries ask it. */
+  /** `ip:port` at which it serves other entries. */
   readonly address: string
 }
 
@@ -20,21 +21,21 @@
 }
 
 /**
- * Encodes the place of a keeper.
+ * Encodes the endpoint of a leader.
  *
- * @param place - of the entry
- * @returns JSON, the same for the same place
+ * @param endpoint - instance and address of the entry
+ * @returns JSON, identical for equal endpoints
  */
 export function encodeKeeper ({ address, instanceId }: KeeperPlace): string {
   return JSON.stringify({ instanceId, address })
 }
 
 /**
- * Decodes the place of a keeper.
+ * Decodes the endpoint of a leader.
  *
- * @param text - JSON
- * @param key - its place, for messages
- * @returns the entry, or what is wrong with the text
+ * @param text - JSON document
+ * @param key - key under which the document is stored, for messages
+ * @returns the endpoint, or a description of why the text is invalid
  */
 export function decodeKeeper (text: string, key: string): Result<KeeperPlace, string> {
   const checked = parseDocument(text, key).andThen((document) => checkDocument<KeeperPlace>(ENDPOINT_SCHEMA, document, key))
--- a/packages/bendfall-edge/src/peer/BendfallEdgePeerSession.ts
+++ b/packages/bendfall-edge/src/peer/BendfallEdgePeerSession.ts
@@ -1,19 +1,19 @@
 /**
- * Connections to other processes of the router.
+ * HTTP/2 connections to other processes of the router, with the timeouts that all of them share.
  *
  * @module
  */
 import { AnsweringSessionManager } from 'bendfall-node'
 
-/** A connection without an answer to a PING for this long is given up. */
+/** A connection is closed when a PING goes unanswered for this long. */
 const PING_TIMEOUT_MS = 400
 const PING_INTERVAL_MS = 1_500
 
-/** Keeps the connection between requests. */
+/** Time for which a connection stays open between requests. */
 const IDLE_TIMEOUT_MS = 60_000
 
 /**
- * Makes a connection; it is opened with the first call.
+ * Creates a connection that opens with the first call.
  *
  * @param address - `ip:port` of the process
  * @returns the connection
--- a/packages/bendfall-edge/src/pools/BendfallEdgeFormerHolders.ts
+++ b/packages/bendfall-edge/src/pools/BendfallEdgeFormerHolders.ts
@@ -1,50 +1,52 @@
 /**
- * Tells whether a holder of a former era may still act: the key-value service came back from an
- * older copy, and the holder has not heard of it.
+ * Determines whether a leader that was elected in a previous era of the key-value service may
+ * still act. An era begins when the service is restored from an older backup; a leader that has
+ * not learned of it acts until its lease would have lapsed.
  *
- * It may, until its lease would have lapsed since the era began. A process that starts can't tell
- * when that was. So the holder of a duty writes down that the era has lasted for a lease's length;
- * where that is written, or the service has no eras, a process that starts need not wait.
+ * A new leader therefore waits for the length of a lease after an era began. A process that has
+ * just started doesn't know when that was, so the leader records under the key that the era has
+ * lasted that long. Where this is recorded, or the service has no eras, there is no wait.
  *
  * @module
  */
 import type { Clock, Teardown } from 'bendfall-node'
 import type { KeyValuePort } from 'bendfall-platform'
 
-/** What it needs. */
+/** Options of {@link watchPreviousLeaders}. */
 export interface PreviousLeaderOptions {
   readonly port: KeyValuePort
   readonly clock: Clock
-  /** Key of the duty; what is written down stands below it. */
+  /** Key of the election; the settled era is stored below it. */
   readonly key: string
   readonly leaseMs: number
 }
 
-/** What is known of holders of former eras. */
+/** Knowledge about leaders that were elected in previous eras. */
 export interface PreviousLeaders {
   /**
-   * Tells whether one may act. Asked after an answer of the service, which tells its era.
+   * Determines whether a previous leader may still act. Call it after a response of the
+   * service, since responses carry the current era.
    *
-   * @param isOwnKey - whether the key names this instance, whose former process has ended
-   * @returns true while one may act
+   * @param isOwnKey - whether the key names this instance, whose previous process has ended
+   * @returns true while a previous leader may act
    */
   readonly mayStillAct: (isOwnKey: boolean) => Promise<boolean>
-  /** Writes down that the era has lasted, once it has; for the holder of the duty. */
+  /** Records that the era has lasted for the length of a lease, once it has. Called by the leader. */
   readonly recordSettledEra: () => Promise<void>
   readonly close: Teardown
 }
 
-/** Of a key that does not exist. */
+/** Revision that a compare-and-swap expects of a key that doesn't exist. */
 const NO_REVISION = 0
 
-/** The service has no eras, or told none. */
+/** The service has no eras, or no response has carried one yet. */
 const NO_ERA = 0
 
 /**
- * Starts to watch eras.
+ * Starts to observe the eras of the key-value service.
  *
- * @param options - service, and duty
- * @returns what is known
+ * @param options - key-value service, and key and lease of the election
+ * @returns knowledge about previous leaders
  */
 export function watchPreviousLeaders ({ clock, key, leaseMs, port }: PreviousLeaderOptions): PreviousLeaders {
   const settledKey = `${key}/settled`
@@ -61,7 +63,7 @@
     return !isOwnKey && !hasLeaseElapsedSince(startedAtMs) && !await isSettled()
   }
 
-  // The era stands in the value: a copy of the key tells of the era in which it was written.
+  // The value contains the era, because a restored backup may hold the key of an earlier era.
   async function isSettled (): Promise<boolean> {
     const era = currentEra()
     if (era === NO_ERA) return true
--- a/packages/bendfall-edge/src/pools/BendfallEdgeHolderLease.ts
+++ b/packages/bendfall-edge/src/pools/BendfallEdgeHolderLease.ts
@@ -1,10 +1,11 @@
 /**
- * Elects one process for a duty: it holds a key of the key-value service that
- * is bound to a lease. The revision of the key's creation is its fencing token.
+ * Elects one process as leader: the leader holds a key of the key-value service that is bound
+ * to a lease. The revision at which the key was created is its fencing token.
  *
- * When the service comes back from an older copy the key and the lease may be gone at
- * once. A holder that hears of it stops; one that doesn't acts until its lease would lapse.
- * So no process takes the key while a holder of a former era may act.
+ * When the service is restored from an older backup, which begins a new era, the key and the
+ * lease may vanish at once. A leader that learns of it stops; one that doesn't acts until its
+ * lease would have lapsed. So no process takes the key while a leader elected in a previous era
+ * may still act.
  *
  * @module
  */
@@ -13,71 +14,71 @@
 import type { KeyValuePort } from 'bendfall-platform'
 import { watchPreviousLeaders } from './BendfallEdgeFormerHolders.js'
 
-/** What an election needs. */
+/** Options of an election. */
 export interface HolderLeaseOptions {
   readonly port: KeyValuePort
   readonly clock: Clock
   readonly logger: Logger
-  /** Key that the holder has. */
+  /** Key that the leader holds. */
   readonly key: string
-  /** Value of the key that names this process; must differ from that of all others. */
+  /** Value of the key that identifies this process; must be unique among the candidates. */
   readonly holder: string
   /** Absent: {@link POOLS_TIMING}. */
   readonly timing?: LeaseTiming
-  /** What other news tell of the key; absent: it is looked up now and then. */
+  /** Availability of the key as known from elsewhere, such as a watch; absent: the key is polled. */
   readonly readAvailability?: () => HolderNews
-  /** Whether the key of a former process of this instance may be taken over: no two processes have its address. */
+  /** Whether the key of a previous process of this instance may be taken over; safe because no two processes share its address. */
   readonly takesOverOwn?: boolean
 }
 
-/** What is known of a key without a look: whether another process has it, or that it should be left alone for now. */
+/** Availability of a key as known without a read: held by another process, free, or not to be taken for now. */
 export type HolderNews = 'held' | 'free' | 'left_alone'
 
-/** Times of a duty. */
+/** Timing of an election. */
 export interface LeaseTiming {
   readonly leaseMs: number
-  /** Between two renewals. */
+  /** Interval between lease renewals. */
   readonly renewMs: number
-  /** The holder stops acting this long before its lease lapses: a call that it has begun takes this long at most. */
+  /** The leader stops acting this long before its lease lapses, which is the longest that a call already started may take. */
   readonly marginMs: number
-  /** Between two looks of a process that doesn't hold the duty; doubles while another one has it. */
+  /** Interval between checks of a candidate; doubles while another process is the leader. */
   readonly firstLookMs: number
-  /** Longest time between two looks, half as much more or less by chance. */
+  /** Upper bound of that interval, before a random jitter of up to 50% either way. */
   readonly longestLookMs: number
 }
 
-/** Time for which a process held a duty, monotonic. */
+/** Period for which a process is or was the leader, in monotonic time. */
 export interface HeldSpan {
   readonly sinceMs: number
-  /** When its lease lapsed, or will unless it is renewed. */
+  /** When its lease lapsed, or will lapse unless renewed, less the safety margin. */
   readonly untilMs: number
 }
 
-/** Part in an election. */
+/** Participation in an election. */
 export interface HolderLease {
-  /** @returns the fencing token while this process holds the duty */
+  /** @returns the fencing token while this process is the leader; otherwise undefined */
   readonly fence: () => number | undefined
-  /** @returns monotonic time since which this process holds the duty; undefined while it doesn't */
+  /** @returns monotonic time at which this process became the leader; undefined while it isn't */
   readonly heldSinceMs: () => number | undefined
-  /** @returns when this process held the duty last, which may be now; undefined when it never did */
+  /** @returns the current or latest term of this process; undefined when it was never the leader */
   readonly lastHeld: () => HeldSpan | undefined
-  /** Gives the duty up at once, since another process has it. */
+  /** Stops being the leader at once, because another process has been elected. */
   readonly giveUp: () => void
-  /** Looks at the key now, since news came of it. */
+  /** Checks the key now instead of at the next interval, after a watch reported a change. */
   readonly look: () => void
-  /** Ends the part and frees the key. */
+  /** Leaves the election and frees the key. */
   readonly close: Teardown
 }
 
 /**
- * Times of the duty to order stage changes. The lease is that after which the users' replicas
- * take orders of another holder; two renewals may be lost. Of 68 processes one looks every
- * 0.2 s, of five every 2.5 s; pools that nobody balances for that long lose nothing, since a
- * change takes longer.
+ * Timing of the leader that orders stage changes. The lease equals the time after which
+ * replicas accept orders from another leader; two renewals may be lost. With 68 processes one of
+ * them checks every 0.2 s on average, with five every 2.5 s. Pools that nobody balances for that
+ * long lose nothing, since a stage change takes longer.
  */
 const POOLS_TIMING: LeaseTiming = { leaseMs: 3_000, renewMs: 900, marginMs: 600, firstLookMs: 2_500, longestLookMs: 12_000 }
 
-/** Of a key that does not exist. */
+/** Revision that a compare-and-swap expects of a key that doesn't exist. */
 const NO_REVISION = 0
 
 interface HeldLease {
@@ -87,17 +88,17 @@
   validity: Validity
 }
 
-/** Until when a lease is valid, by both clocks: the monotonic one does not count a suspension. */
+/** End of a lease's validity by both clocks, since the monotonic clock does not advance while the process is suspended. */
 interface Validity {
   readonly untilMs: number
   readonly untilWallMs: number
 }
 
 /**
- * Takes part in an election.
+ * Joins an election and competes for leadership until closed.
  *
- * @param options - service, key and name
- * @returns the part
+ * @param options - key-value service, key and identity of this process
+ * @returns the participation
  */
 export function joinElection (options: HolderLeaseOptions): HolderLease {
   const { clock, holder, key, logger, readAvailability, port, takesOverOwn = false, timing = POOLS_TIMING } = options
@@ -129,11 +130,11 @@
     loseLeadership(`era ${era} began after ${formerEra}`)
   })
 
-  // Revision at which the key may be taken; undefined when it may not.
+  // Returns the revision at which the key may be taken, undefined when it may not.
   async function readVacantRevision (): Promise<number | undefined> {
     const availability = readAvailability?.()
     if (availability === 'left_alone' || availability === 'held') return undefined
-    // Old news are good enough where only the write decides.
+    // When polling, a stale read is sufficient: the compare-and-swap decides.
     const read = await port.get(key, { mayBeOld: readAvailability === undefined })
     checkIntervalMs = read.type === 'found' ? Math.min(longestLookMs, 2 * checkIntervalMs) : firstLookMs
     if (read.type === 'missing') return NO_REVISION
@@ -158,7 +159,7 @@
     logger.info('duty_taken', { key, fence })
   }
 
-  // The answer to the write was lost: the key tells whether it was done.
+  // The response to the write was lost: the key shows whether the write was applied.
   async function readBack (leaseId: string): Promise<number | undefined> {
     const read = await port.get(key)
     return read.type === 'found' && read.entry.leaseId === leaseId ? read.entry.revision : undefined
@@ -187,7 +188,7 @@
     lastHeld = { sinceMs, untilMs: validity.untilMs }
   }
 
-  // A lease that is not revoked lapses by itself.
+  // If revoking fails, the lease lapses by itself.
   function releaseLease (lease: HeldLease | undefined): void {
     if (lease !== undefined) port.revokeLease(lease.leaseId).catch((error: unknown) => logger.warn('revoke_failed', { key, error }))
   }
@@ -197,7 +198,7 @@
     fence: () => held !== undefined && isValid(held) ? held.fence : undefined,
     heldSinceMs: () => held !== undefined && isValid(held) ? held.sinceMs : undefined,
     lastHeld: () => lastHeld,
-    // The key goes as well: the next holder, this one too, has a higher fencing token.
+    // Frees the key as well, so that the next leader, even this process, has a higher fencing token.
     giveUp: () => {
       const lease = held
       loseLeadership('a replica has seen a higher fencing token')
--- a/packages/bendfall-edge/src/pools/BendfallEdgePools.ts
+++ b/packages/bendfall-edge/src/pools/BendfallEdgePools.ts
@@ -1,5 +1,6 @@
 /**
- * Drives the balance of pools: the election, its ticks and the orders.
+ * Runs the balancing of prefill and decode pools: joins the election of the process that orders
+ * stage changes, triggers the balancing periodically and sends the orders to replicas.
  *
  * @module
  */
@@ -13,16 +14,16 @@
 import { startOwnCall } from '../replica/BendfallEdgeOwnCall.js'
 import { joinElection } from './BendfallEdgeHolderLease.js'
 
-/** Key of the process that orders stage changes. */
+/** Key held by the leader that orders stage changes. */
 const POOLS_KEY = 'bendfall/pools/holder'
 
-/** Between two ticks. */
+/** Interval between balancing runs. */
 const TICK_MS = 500
 
-/** An order that isn't answered within this may still be carried out. */
+/** Timeout of an order; the replica may still carry out an order that timed out. */
 const ORDER_TIMEOUT_MS = 1_000
 
-/** What the balance needs. */
+/** Options of the pool balancing. */
 export interface PoolsOptions {
   readonly loop: UpdateLoop<RouterEvent, RouterEffect>
   readonly port: KeyValuePort
@@ -30,15 +31,15 @@
   readonly logger: Logger
   readonly instanceId: string
   readonly poolOf: (address: string) => ConnectionPool
-  /** @returns whether a replica names a limit */
+  /** @returns whether a replica advertises a request rate limit */
   readonly hasLimit: (replicaId: string) => boolean
 }
 
 /**
- * Starts the balance.
+ * Starts the pool balancing.
  *
- * @param options - update path, service and replicas
- * @returns teardown
+ * @param options - update loop, key-value service and access to replicas
+ * @returns teardown that stops balancing and leaves the election
  */
 export function registerPools (options: PoolsOptions): Teardown {
   const { dialect, instanceId, logger, loop, poolOf, port } = options
