--- a/packages/bendfall-edge/src/allotments/BendfallEdgeAllotmentAsks.ts
+++ b/packages/bendfall-edge/src/allotments/BendfallEdgeAllotmentAsks.ts
@@ -1,6 +1,6 @@
 /**
- * Asks the keepers of the allotments for a request. One that is slow is not lost: while the
- * reserve is asked its answer is still waited for, and used where the reserve can't grant.
+ * Requests units from the leaders of the allotments. When the primary is slow, the reserve is
+ * asked as well; the primary's late answer is still awaited and used if the reserve can't grant.
  *
  * @module
  */
@@ -11,45 +11,45 @@
 import type { KeeperClient } from '../peer/BendfallEdgeKeeperClient.js'
 import type { UnitsAsk } from './BendfallEdgeAllotmentDuty.js'
 
-/** Without an answer of the primary for so long the reserve is asked: the calls with the nearest targets wait for it. */
+/** Wait for the primary before the reserve is asked; requests with the tightest latency targets have to wait this long too. */
 const HEDGE_DELAY_MS = 80
 
-/** Longest wait for the primary: a caller that is refused loses more time on its way back. */
+/** Maximum wait for the primary; being refused and retrying would cost the caller more time. */
 const PRIMARY_TIMEOUT_MS = 250
 
-/** Late answers that no request took up are dealt with after so long. */
+/** Time after which a late answer that no request has claimed is handled. */
 const LATE_ANSWER_TTL_MS = 1_000
 
-/** Outcome of an ask, with the keeper that it is of. */
+/** Outcome of a request for units, with the role of the leader that it comes from. */
 export interface KeeperOutcome {
   readonly role: AllotmentRole
   readonly outcome: UnitsOutcome
 }
 
-/** What asks need. */
+/** Options of the client. */
 export interface AllotmentAskOptions {
   readonly clock: Clock
   readonly logger: Logger
   readonly clients: Readonly<Record<AllotmentRole, KeeperClient>>
-  /** @returns the outcome at this entry; undefined where it doesn't hold the duty */
+  /** @returns the outcome at this entry; undefined if this entry isn't the leader of the role */
   readonly takeHere: (request: UnitsAsk) => UnitsOutcome | undefined
   readonly giveBack: (request: UnitsAsk) => void
 }
 
-/** Asks for units. */
+/** Client that requests units. */
 export interface AllotmentAsks {
   /**
-   * @param key - of the request, the same for each of its asks
-   * @param request - for the first ask of a request the primary, then the reserve
+   * @param key - key of the caller's request, the same for both of its requests for units
+   * @param request - addressed to the primary the first time, to the reserve the second time
    */
   readonly take: (key: string, request: UnitsAsk) => Promise<KeeperOutcome>
 }
 
 /**
- * Makes the asks.
+ * Creates a client of the allotment leaders.
  *
- * @param options - keepers
- * @returns the asks
+ * @param options - connections to the leaders and local shortcuts
+ * @returns the client
  */
 export function createAllotmentAsks ({ clients, clock, giveBack, logger, takeHere }: AllotmentAskOptions): AllotmentAsks {
   const lateAnswers = new Map<string, Promise<UnitsOutcome>>()
@@ -90,7 +90,7 @@
     return answer
   }
 
-  // Without an answer it is not known whether they were granted: given back, units that were refused would be granted beyond the limit.
+  // Without an answer it is unknown whether units were granted. Giving back units that were refused would allow grants beyond the limit.
   function giveBackLateGrant (key: string, request: UnitsAsk): void {
     claimLateAnswer(key)?.then((outcome) => { if (outcome.type === 'granted') giveBack(request) })
       .catch((error: unknown) => logger.error('give_back_late_failed', { customer: request.customer, error }))
--- a/packages/bendfall-edge/src/allotments/BendfallEdgeAllotmentDocument.ts
+++ b/packages/bendfall-edge/src/allotments/BendfallEdgeAllotmentDocument.ts
@@ -1,17 +1,17 @@
 /**
- * Keys of the entries that keep the allotments, in the key-value service.
+ * Keys in the key-value service under which the leaders of the allotments are registered.
  *
  * @module
  */
 import type { AllotmentRole } from 'bendfall-router'
 
-/** Begins the keys of all roles; the role follows. */
+/** Prefix of the keys of all roles. */
 export const ALLOTMENT_PREFIX = 'bendfall/allotments/'
 
 /**
- * Names the key of a role.
+ * Returns the key of a role.
  *
- * @param role - the role
+ * @param role - role that a leader is elected for
  * @returns key in the key-value service
  */
 export function keyOfRole (role: AllotmentRole): string {
--- a/packages/bendfall-edge/src/allotments/BendfallEdgeAllotmentDuty.ts
+++ b/packages/bendfall-edge/src/allotments/BendfallEdgeAllotmentDuty.ts
@@ -1,6 +1,6 @@
 /**
- * Takes part in the election of the entries that keep the allotments, and keeps them while
- * this entry holds a duty.
+ * Joins the elections of the leaders that grant units of allotments, one for each role, and
+ * grants units while this entry is a leader.
  *
  * @module
  */
@@ -16,59 +16,59 @@
 import { keyOfRole } from './BendfallEdgeAllotmentDocument.js'
 
 /**
- * Times of the duty. A keeper goes on through an outage of the key-value service for as long
- * as keys are believed; one that is lost for good is replaced after the lease, for which the
- * reserve grants.
+ * Timing of the elections. A leader continues through an outage of the key-value service for as
+ * long as cached customer keys stay valid. A leader that is lost for good is replaced once its
+ * lease has lapsed; until then the reserve grants.
  */
 const TIMING: LeaseTiming = { leaseMs: 5_000, renewMs: 1_000, marginMs: 500, firstLookMs: 1_000, longestLookMs: 2_000 }
 
 /**
- * An entry that keeps one role, or could still get the first, takes the other only after it was free for so
- * long: lost with one instance, both would be missing. Longer than the wait for a holder of a former era,
- * after which all entries may take both.
+ * An entry that leads one role, or may still be elected primary, takes the other role only after
+ * it has been vacant for this long: if one instance led both, its loss would remove both. Longer
+ * than the wait for a leader of a previous era, after which every entry may take both.
  */
 const SECOND_ROLE_DELAY_MS = TIMING.leaseMs + 2_000
 
-/** Entries that see a key free look one after the other, within this. */
+/** Maximum random delay before an entry checks a key that became free, so that entries don't check all at once. */
 const CHECK_JITTER_MS = 600
 
-/** Units to take or give back. */
+/** Request to take or give back units. */
 export interface UnitsAsk {
   readonly role: AllotmentRole
   readonly customer: string
   readonly units: number
 }
 
-/** What the duties need. */
+/** Options of the elections. */
 export interface AllotmentDutyOptions {
   readonly port: KeyValuePort
   readonly clock: Clock
   readonly logger: Logger
-  /** This entry, as the others find it. */
+  /** Endpoint of this entry, which it announces when elected. */
   readonly own: KeeperPlace
   readonly bounds: AllotmentBounds
-  /** @returns customer of the configuration in force; undefined when it has none of that name */
+  /** @returns the customer in the active configuration; undefined if the name is unknown */
   readonly customerOf: (name: string) => Customer | undefined
-  /** @returns place of the keeper of a role, by the last word of the key-value service */
+  /** @returns endpoint of the leader of a role by the last update from the key-value service */
   readonly placeOf: (role: AllotmentRole) => KeeperPlace | undefined
-  /** @returns whether the deployment has allotments that somebody must keep */
+  /** @returns whether any customer has an allotment, so that leaders are needed */
   readonly isNeeded: () => boolean
 }
 
-/** The duties of this entry. */
+/** Participation of this entry in the elections of all roles. */
 export interface AllotmentDuties {
-  /** Takes units, if this entry holds the duty. */
+  /** Takes units if this entry is the leader of the role; otherwise returns `unreachable`. */
   readonly take: (request: UnitsAsk) => UnitsOutcome
   readonly giveBack: (request: UnitsAsk) => void
-  /** Forgets customers that the configuration no longer has. */
+  /** Drops the state of customers that are no longer configured. */
   readonly keepOnly: (names: ReadonlySet<string>) => void
-  /** Looks whether a duty is free: news came of one. */
+  /** Schedules a check for vacant roles after a change was reported. */
   readonly look: () => void
-  /** Takes the duties over that a former process of this instance held. */
+  /** Takes over the roles that a previous process of this instance was leading. */
   readonly reclaim: () => void
-  /** @returns whether this entry holds the duty */
+  /** @returns whether this entry is the leader of a role */
   readonly holds: (role: AllotmentRole) => boolean
-  /** Leaves the duties to others. */
+  /** Resigns from all roles and leaves the elections. */
   readonly close: Teardown
 }
 
@@ -81,8 +81,8 @@
 /**
  * Joins the elections of all roles.
  *
- * @param options - service, place and customers
- * @returns the duties
+ * @param options - key-value service, endpoint of this entry and customers
+ * @returns the participation
  */
 export function joinAllotmentDuties (options: AllotmentDutyOptions): AllotmentDuties {
   const { bounds, clock, customerOf, isNeeded, logger, own, placeOf, port } = options
@@ -107,11 +107,11 @@
 
   function mayLeadOtherRole (role: AllotmentRole): boolean {
     if (role === 'reserve' && placeOf('primary') === undefined) return true
-    // The key-value service may tell of an own key before it has answered the write.
+    // The watch may deliver this entry's own key before the write of it has returned.
     return ALLOTMENT_ROLES.some((other) => other !== role && (candidacies.get(other)?.election.fence() !== undefined || placeOf(other)?.instanceId === own.instanceId))
   }
 
-  // What another process granted under the duty before is not known, so that each time begins empty.
+  // What previous leaders granted is unknown, so each term starts with new state.
   function leaderStateOf (role: AllotmentRole): AllotmentKeeper | undefined {
     const candidacy = candidacies.get(role)
     const sinceMs = candidacy?.election.heldSinceMs()
--- a/packages/bendfall-edge/src/allotments/BendfallEdgeAllotments.ts
+++ b/packages/bendfall-edge/src/allotments/BendfallEdgeAllotments.ts
@@ -1,6 +1,6 @@
 /**
- * Carries out the effects that take units of allotments: at this entry where it keeps them,
- * else at the one that does. Serves the entries that ask this one.
+ * Handles the effects that take or give back units of allotments, at this entry if it is the
+ * leader and otherwise by calls to the leader. Serves such calls from other entries.
  *
  * @module
  */
@@ -20,43 +20,43 @@
 
 const MAX_RETRY_AFTER_MS = 600_000
 
-/** What allotments need. */
+/** Options of the allotments. */
 export interface AllotmentOptions {
   readonly loop: UpdateLoop<RouterEvent, RouterEffect>
   readonly port: KeyValuePort
   readonly logger: Logger
-  /** This entry, as the others find it. */
+  /** Endpoint of this entry, which it announces when elected. */
   readonly own: KeeperPlace
   readonly bounds: AllotmentBounds
-  /** @returns customers of the configuration in force, by name */
+  /** @returns customers of the active configuration, by name */
   readonly customers: () => ReadonlyMap<string, Customer>
 }
 
-/** Allotments of an entry that runs. */
+/** Allotments of a running entry. */
 export interface Allotments {
-  /** Serves other entries. */
+  /** Registers the RPC handlers for other entries. */
   readonly serve: (streams: StreamRoutes) => void
-  /** Takes what the key-value service tells of keepers. */
+  /** Applies an update from the watch on the key-value service. */
   readonly learn: (entries: readonly KeyValueEntry[], removedKeys: readonly string[]) => void
-  /** Takes the customers of a new configuration. */
+  /** Applies the customers of a new configuration. */
   readonly applyConfig: () => void
-  /** @returns whether this entry keeps the allotments in a role */
+  /** @returns whether this entry is the leader of a role */
   readonly holds: (role: AllotmentRole) => boolean
-  /** Leaves the duties to others, before the process stops. */
+  /** Resigns from all roles before the process stops. */
   readonly leave: Teardown
   readonly close: Teardown
 }
 
 /**
- * Starts to keep allotments and to ask for them.
+ * Joins the elections and registers the handlers of the effects.
  *
- * @param options - update path, service and place
+ * @param options - update loop, key-value service and endpoint of this entry
  * @returns the allotments
  */
 export function registerAllotments (options: AllotmentOptions): Allotments {
   const { customers, logger, loop, own } = options
   const clients: Readonly<Record<AllotmentRole, KeeperClient>> = { primary: createClient('primary'), reserve: createClient('reserve') }
-  // Of the configuration in force: with a thousand customers not looked up for each question.
+  // Cached for the active configuration, so that a thousand customers aren't scanned on every election check.
   let isNeeded = false
   const elections = joinAllotmentDuties({
     ...options,
@@ -84,7 +84,7 @@
 
   const allotmentClient = createAllotmentAsks({ clock: loop.clock, logger, clients, takeHere: (request) => elections.holds(request.role) ? elections.take(request) : undefined, giveBack })
 
-  // Lost, it costs its customer some units of one window.
+  // Best effort: a lost message costs the customer some units of one window.
   function giveBack (request: UnitsAsk): void {
     if (elections.holds(request.role)) elections.giveBack(request)
     else clients[request.role].tell((session, options) => callUnary(session, AllotmentService.method.giveBack, toMessage(request), options))
--- a/packages/bendfall-edge/src/ledger/BendfallEdgeLedgerClients.ts
+++ b/packages/bendfall-edge/src/ledger/BendfallEdgeLedgerClients.ts
@@ -1,6 +1,6 @@
 /**
- * Calls the ledgers beside the model replicas: books memory for requests and
- * asks for the loads of the replicas.
+ * Handles the effects that call the ledgers beside the model replicas: reserves, confirms and
+ * releases memory for requests, announces prefills and reads the loads of replicas.
  *
  * @module
  */
@@ -12,28 +12,28 @@
 import { createLedgerSessions } from './BendfallEdgeLedgerSessions.js'
 import { registerLoadRequests } from './BendfallEdgeLoadAsks.js'
 
-/** A prompt that nobody says was read is shown to others for this long and the time that ledgers add. */
+/** Lead time of an announced prefill: if it is never reported as done, other entries see it for this long plus the grace time of the ledgers. */
 const ANNOUNCED_LEAD_MS = 500
 
-/** What the clients need. */
+/** Options of the clients. */
 export interface LedgerClientOptions {
   readonly loop: UpdateLoop<RouterEvent, RouterEffect>
   readonly logger: Logger
-  /** Port of the ledgers, the same on all instances. */
+  /** Port on which ledgers listen, the same on all instances. */
   readonly port: number
 }
 
-/** Ledgers of the replicas that are known. */
+/** Clients of the ledgers of all known replicas. */
 export interface LedgerClients {
-  /** Takes the replicas that are known; connections to the ledgers of others end. */
+  /** Sets the known replicas and closes the connections to the ledgers of all others. */
   readonly keepOnly: (replicas: Iterable<Replica>) => void
   readonly close: Teardown
 }
 
 /**
- * Registers the effects that call ledgers.
+ * Registers the handlers of the effects that call ledgers.
  *
- * @param options - update path and the ledgers' port
+ * @param options - update loop and port of the ledgers
  * @returns the clients
  */
 export function registerLedgerClients (options: LedgerClientOptions): LedgerClients {
@@ -87,7 +87,7 @@
     pendingReserves.get(bookingId)?.abort()
     const session = sessions.of(replicaId)
     if (session === undefined) return
-    // A release that is lost is made up for by the replica's own report.
+    // The next report of the replica corrects its ledger if the release is lost.
     callUnary(session, LedgerService.method.release, { bookingId }, { timeoutMs: CALL_SLACK_MS }).catch((error: unknown) => {
       logger.debug('release_lost', { replica: replicaId, booking: bookingId, error })
     })
--- a/packages/bendfall-edge/src/ledger/BendfallEdgeLedgerMessages.ts
+++ b/packages/bendfall-edge/src/ledger/BendfallEdgeLedgerMessages.ts
@@ -1,22 +1,22 @@
 /**
- * Messages of the ledger protocol to and from the router's own types, and the bound
- * on a call's time.
+ * Converts between the messages of the ledger protocol and the types of the router, and bounds
+ * the time of calls.
  *
  * @module
  */
 import type { ReplicaLoad as LoadMessage, ReserveMemoryRequest } from 'bendfall-protocol'
 import type { ReplicaLoad, ReplicaStage, RouterEffectOf } from 'bendfall-router'
 
-/** Answers later than this beyond their wait count as lost. */
+/** Time allowed for a call beyond the wait that it requests; later responses count as lost. */
 export const CALL_SLACK_MS = 250
 
 const STAGES: ReadonlySet<string> = new Set(['prefill', 'decode'])
 
 /**
- * Message that books memory or a slot.
+ * Converts an effect to the message that reserves decode memory or a prefill slot.
  *
- * @param effect - what the router asks for
- * @returns the message
+ * @param effect - reservation that the router decided on
+ * @returns the request message
  */
 export function toReserveRequest (effect: RouterEffectOf<'reserve'> | RouterEffectOf<'queue_prefill'>): Omit<ReserveMemoryRequest, '$typeName' | '$unknown'> {
   return {
@@ -34,10 +34,10 @@
 }
 
 /**
- * Load as the router knows it.
+ * Converts a load message to the type of the router.
  *
  * @param replicaId - id of the replica
- * @param message - what its ledger told
+ * @param message - load that its ledger reported
  * @returns the load
  */
 export function toReplicaLoad (replicaId: string, message: LoadMessage): ReplicaLoad {
@@ -54,13 +54,13 @@
 }
 
 /**
- * Bounds the time of a call. A connection that is being opened to an instance without
- * power is not bounded by the call's own timeout.
+ * Bounds the time of a call. The call's own timeout doesn't cover connecting to an instance
+ * that has lost power.
  *
- * @param answer - of the call
- * @param timeoutMs - longest time
- * @returns the answer
- * @throws Error when there is none in time
+ * @param answer - pending response of the call
+ * @param timeoutMs - maximum time
+ * @returns the response
+ * @throws Error when there is no response in time
  */
 export function withTimeout<T> (answer: Promise<T>, timeoutMs: number): Promise<T> {
   let timer: NodeJS.Timeout
--- a/packages/bendfall-edge/src/ledger/BendfallEdgeLedgerServer.ts
+++ b/packages/bendfall-edge/src/ledger/BendfallEdgeLedgerServer.ts
@@ -1,5 +1,5 @@
 /**
- * Serves the ledger of the model replica beside this process.
+ * Serves the memory ledger of the model replica beside this process to the entries.
  *
  * @module
  */
@@ -18,29 +18,29 @@
   readonly retryAfterMs: number
 }
 
-/** What the server needs. */
+/** Options of the server. */
 export interface LedgerServerOptions {
-  /** `ip:port` on which entries are served. */
+  /** `ip:port` to listen on. */
   readonly listen: string
   /** `ip:port` of the replica. */
   readonly replicaAddress: string
   readonly dialect: ReplicaDialect
   readonly clock: Clock
   readonly logger: Logger
-  /** Switches of the mechanisms; absent: all are on. */
+  /** Feature switches of the router's decisions; absent: all are enabled. */
   readonly decisions?: RouterDecisions
 }
 
-/** The server. */
+/** A running ledger server. */
 export interface LedgerServer {
   readonly address: string
-  /** @returns the state, for metrics */
+  /** @returns state of the ledger, for metrics */
   readonly state: () => LedgerState
   readonly close: () => Promise<void>
 }
 
 /**
- * Starts to serve.
+ * Starts the server and the polling of the replica's reports.
  *
  * @param options - addresses and dialect
  * @returns the server once it listens
--- a/packages/bendfall-edge/src/ledger/BendfallEdgeLedgerSessions.ts
+++ b/packages/bendfall-edge/src/ledger/BendfallEdgeLedgerSessions.ts
@@ -1,6 +1,5 @@
 /**
- * Connections to the ledgers beside the model replicas, opened when a ledger is
- * first called.
+ * Connections to the ledgers beside the model replicas, each opened by the first call to it.
  *
  * @module
  */
@@ -8,11 +7,11 @@
 import type { Replica } from 'bendfall-router'
 import { createPeerSession } from '../peer/BendfallEdgePeerSession.js'
 
-/** Connections to the ledgers of known replicas. */
+/** Connections to the ledgers of all known replicas. */
 export interface LedgerSessions {
-  /** @returns the connection to a replica's ledger; undefined when the replica isn't known */
+  /** @returns the connection to a replica's ledger; undefined when the replica is unknown */
   readonly of: (replicaId: string) => AnsweringSessionManager | undefined
-  /** Takes the replicas that are known; connections to others end. */
+  /** Sets the known replicas and closes the connections of all others. */
   readonly keepOnly: (replicas: Iterable<Replica>) => void
   readonly closeAll: () => void
 }
@@ -23,10 +22,10 @@
 }
 
 /**
- * Makes the connections.
+ * Creates the set of connections, with none open.
  *
- * @param port - of the ledgers, the same on all instances
- * @returns the connections, none of them open
+ * @param port - port on which ledgers listen, the same on all instances
+ * @returns the connections
  */
 export function createLedgerSessions (port: number): LedgerSessions {
   const ledgers = new Map<string, Ledger>()
@@ -46,7 +45,7 @@
     keepOnly: (replicas) => {
       const addresses = new Map([...replicas].map(({ address, replicaId }) => [replicaId, address]))
       for (const [replicaId, ledger] of ledgers) {
-        // A replica that started again under its id may be on another instance.
+        // A replica that was restarted with the same id may run on another instance.
         if (addresses.get(replicaId) !== ledger.address) closeSession(replicaId, ledger)
       }
       for (const [replicaId, address] of addresses) {
--- a/packages/bendfall-edge/src/ledger/BendfallEdgeLoadAsks.ts
+++ b/packages/bendfall-edge/src/ledger/BendfallEdgeLoadAsks.ts
@@ -1,5 +1,6 @@
 /**
- * Asks ledgers for the loads of their replicas.
+ * Handles the effect `ask_loads`: reads the loads of replicas from their ledgers and detects
+ * ledgers that no longer respond.
  *
  * @module
  */
@@ -11,10 +12,10 @@
 import { toReplicaLoad, withTimeout } from './BendfallEdgeLedgerMessages.js'
 import type { LedgerSessions } from './BendfallEdgeLedgerSessions.js'
 
-/** A ledger that has not told its load in this time is away; one at its share of a processor takes up to a tenth of a second. */
+/** Time without a response after which a ledger counts as lost; a ledger limited to its CPU share takes up to 100 ms. */
 const LOAD_TIMEOUT_MS = 400
 
-/** What asking needs. */
+/** Options of the handler. */
 export interface LoadRequestOptions {
   readonly loop: UpdateLoop<RouterEvent, RouterEffect>
   readonly logger: Logger
@@ -22,24 +23,24 @@
 }
 
 /**
- * Registers the effect `ask_loads`.
+ * Registers the handler of the effect `ask_loads`.
  *
- * @param options - update path and connections
- * @returns teardown
+ * @param options - update loop and connections to ledgers
+ * @returns teardown that unregisters the handler and aborts pending calls
  */
 export function registerLoadRequests (options: LoadRequestOptions): Teardown {
   const { logger, loop, sessions } = options
   const pendingReads = new Map<string, Promise<void>>()
   const lostLedgers = new Set<string>()
   const ended = new AbortController()
-  // Each call under way listens.
+  // Every pending call adds a listener to this signal.
   setMaxListeners(0, ended.signal)
 
   function recordAnswer (replicaId: string): void {
     if (lostLedgers.delete(replicaId)) logger.info('ledger_regained', { replica: replicaId })
   }
 
-  // One line when a ledger is lost and one when it is back, however often it is asked.
+  // Logs one line when a ledger is lost and one when it is regained, however often it is called.
   function recordFailure (replicaId: string, error: unknown): void {
     if (!lostLedgers.has(replicaId)) logger.warn('ledger_lost', { replica: replicaId, error })
     lostLedgers.add(replicaId)
@@ -56,13 +57,13 @@
       loop.dispatch({ type: 'load_learned', load: toReplicaLoad(replicaId, answer) })
     } catch (error) {
       if (ended.signal.aborted) return
-      // The next call opens another connection: this one may have gone silent.
+      // The connection may be dead without having been closed; the next call opens a new one.
       session.abort()
       recordFailure(replicaId, error)
     }
   }
 
-  // Requests that come together share one call.
+  // Concurrent requests share one call.
   function readLoadOnce (replicaId: string): Promise<void> {
     const pendingRead = pendingReads.get(replicaId) ?? readLoad(replicaId).finally(() => pendingReads.delete(replicaId))
     pendingReads.set(replicaId, pendingRead)
--- a/packages/bendfall-edge/src/ledger/BendfallEdgeReportCalls.ts
+++ b/packages/bendfall-edge/src/ledger/BendfallEdgeReportCalls.ts
@@ -1,6 +1,6 @@
 /**
- * Asks a replica for its reports over connections that are kept, and tells which of them
- * may be a second answer to an earlier question.
+ * Fetches the reports of a replica over persistent connections, and marks those that may be a
+ * duplicate response to an earlier request.
  *
  * @module
  */
@@ -11,49 +11,50 @@
 import { startOwnCall } from '../replica/BendfallEdgeOwnCall.js'
 import type { OwnCallOutcome } from '../replica/BendfallEdgeOwnCall.js'
 
-/** A report later than this is a failure. */
+/** Timeout of a report. */
 const REPORT_TIMEOUT_MS = 400
 
-/** Longest body of a report. */
+/** Maximum size of a report's body. */
 const MAX_REPORT_BYTES = 262_144
 
-/** Reports whose bodies are remembered, some kilobytes each; connections are opened anew then. */
+/** Number of remembered report bodies, a few kilobytes each, after which new connections are opened. */
 const MAX_REMEMBERED_BODIES = 256
 
 const OK_STATUS = 200
 
-/** A report as it was read. */
+/** A report that was fetched. */
 export interface ReadReport {
   readonly report: EngineReport
-  /** Whether its body came before on these connections, so that it may be a second answer. */
+  /** Whether the same body was received before on these connections, so that it may be a duplicate response. */
   readonly isRepeat: boolean
 }
 
-/** Kept connections, and what was read on them. */
+/** Persistent connections, with the bodies received on them. */
 interface ReportSource {
   readonly pool: ConnectionPool
   readonly bodies: Set<string>
 }
 
-/** Reports of a replica. */
+/** Calls that fetch the reports of a replica. */
 export interface ReportCalls {
-  /** @returns the report; undefined when there is none in time, or none that can be read */
+  /** @returns the report; undefined when it timed out or can't be decoded */
   readonly read: () => Promise<ReadReport | undefined>
   /**
-   * Asks over a new connection, whose first answer is a second one to nothing, and goes on
-   * with it; with the former one where that gives no report.
+   * Fetches a report over a new connection, whose first response can't be a duplicate, and uses
+   * this connection from then on. If it yields no report, the previous one stays in use.
    */
   readonly readOnNewConnection: () => Promise<ReadReport | undefined>
   readonly close: () => void
 }
 
 /**
- * Makes the calls. Reports bear no id, and a connection for each would be dear: on a
- * simulated day nine replicas were asked 3,674 times.
+ * Creates the calls. Reports carry no request id that would identify duplicates, and a
+ * connection for each report would be expensive: on a simulated day, 3,674 reports were
+ * requested from nine replicas.
  *
  * @param address - `ip:port` of the replica
- * @param dialect - of its platform
- * @param clock - to end waits by
+ * @param dialect - dialect of its platform
+ * @param clock - clock for timeouts
  * @returns the calls
  */
 export function createReportCalls (address: string, dialect: ReplicaDialect, clock: Clock): ReportCalls {
@@ -79,8 +80,9 @@
     })
   }
 
-  // A replica that is full takes no new connection; the one that it has must not be given
-  // up for it: of 20 reports asked so 18 failed, and the replica counted as lost.
+  // A replica at its connection limit accepts no new connection, so the current one is closed
+  // only after the new one has worked. Without this, 18 of 20 reports failed and the replica
+  // counted as lost.
   async function readOnNewConnection (): Promise<ReadReport | undefined> {
     const newSource = openSource(address)
     const read = await fetchReport(newSource)
--- a/packages/bendfall-edge/src/ledger/BendfallEdgeReports.ts
+++ b/packages/bendfall-edge/src/ledger/BendfallEdgeReports.ts
@@ -1,6 +1,6 @@
 /**
- * Reads the reports of the model replica beside this process and feeds its ledger
- * with them: often while requests wait, rarely while it is idle.
+ * Polls the reports of the model replica beside this process and passes them to its ledger. The
+ * polling interval is short while requests wait and long while the replica is idle.
  *
  * @module
  */
@@ -12,22 +12,22 @@
 import { createReportCalls } from './BendfallEdgeReportCalls.js'
 import type { ReadReport } from './BendfallEdgeReportCalls.js'
 
-/** Between two reports while requests wait for memory: as long as a dozen steps, in which one of them may end. */
+/** Polling interval while requests wait for memory: about a dozen decode steps, within which a run may end. */
 const WAITING_PERIOD_MS = 50
 
-/** The same while requests only run or are on their way: nobody waits for a report, and each answer lasts seconds. */
+/** Polling interval while requests only run or are on their way: nothing waits for a report, and responses last seconds. */
 const BUSY_PERIOD_MS = 150
 
-/** Between two reports while a request waits with its prompt read: each of them costs the caller that much. */
+/** Polling interval while a request whose prompt is processed waits for confirmation; each interval adds to the caller's latency. */
 const CONFIRM_PERIOD_MS = 15
 
-/** Between two reports of an idle replica. */
+/** Polling interval of an idle replica. */
 const IDLE_PERIOD_MS = 300
 
-/** Reports that fail in a row before the replica counts as unhealthy. */
+/** Number of consecutive failed reports after which the replica counts as unhealthy. */
 const FAILURES_TO_UNHEALTHY = 2
 
-/** What following needs. */
+/** Options of the polling. */
 export interface ReportsOptions {
   /** `ip:port` of the replica. */
   readonly replicaAddress: string
@@ -35,22 +35,22 @@
   readonly clock: Clock
   readonly logger: Logger
   readonly loop: UpdateLoop<LedgerEvent, LedgerEffect>
-  /** @returns state of the ledger */
+  /** @returns current state of the ledger */
   readonly state: () => LedgerState
 }
 
-/** Reports that are followed. */
+/** Running polling of reports. */
 export interface Reports {
-  /** Asks for a report before the next one is due. */
+  /** Requests a report immediately instead of at the next interval. */
   readonly wanted: () => void
   readonly close: Teardown
 }
 
 /**
- * Starts to follow the reports.
+ * Starts polling the reports.
  *
  * @param options - replica and ledger
- * @returns the reports
+ * @returns the running polling
  */
 export function followReports (options: ReportsOptions): Reports {
   const { clock, dialect, logger, loop, replicaAddress, state } = options
@@ -99,15 +99,15 @@
   }
 }
 
-// Reports of a replica that works differ from one to the next. One that came before may be a
-// second answer: it would confirm memory that is taken by now, or end runs that have begun.
+// Successive reports of a busy replica differ. A repeated body may be a duplicate response to an
+// earlier request, which would confirm memory that is occupied by now or end runs that have begun.
 function isSuspectRepeat (state: LedgerState, { isRepeat, report }: ReadReport): boolean {
   if (!isRepeat) return false
   const isConfirming = [...state.bookings.values()].some(({ confirm }) => confirm !== undefined)
   return isConfirming || report.active > 0 || state.lastRuns.size > 0
 }
 
-// A confirmation that came while the report was on its way needs another one at once.
+// A confirmation that was requested while the report was being fetched needs a new report at once.
 function pollPeriodMs (state: LedgerState, reportAskedAtMs: number): number {
   const confirms = [...state.bookings.values()].flatMap(({ confirm }) => confirm ?? [])
   if (confirms.some(({ askedAtMs }) => askedAtMs > reportAskedAtMs)) return 0
--- a/packages/bendfall-edge/src/limits/BendfallEdgeLimitDocument.ts
+++ b/packages/bendfall-edge/src/limits/BendfallEdgeLimitDocument.ts
@@ -1,7 +1,7 @@
 /**
- * Tells all entries which replicas name a limit, by a document of the key-value service that
- * its keeper writes: an entry that has callers for such a replica asks for a permit before
- * its first request there.
+ * Document in the key-value service that lists the request rate limits advertised by replicas.
+ * The leader of the permits writes it, so that an entry requests a permit before it sends its
+ * first request to a limited replica.
  *
  * @module
  */
@@ -14,13 +14,13 @@
 /** Key of the document. */
 export const LIMITS_KEY = 'bendfall/limits/named'
 
-/** Changes within this are written at once. */
+/** Changes within this time are written together. */
 const BATCH_DELAY_MS = 50
 
-/** Between two writes at least. */
+/** Minimum pause between two writes. */
 const MIN_WRITE_INTERVAL_MS = 250
 
-/** Limits in the document: a value of the service has bounds, and the others are heard in answers. */
+/** Maximum number of limits in the document, since values of the service are bounded; entries learn further limits from responses. */
 const MAX_PUBLISHED_LIMITS = 1_000
 
 const NO_REVISION = 0
@@ -37,14 +37,14 @@
   }
 }
 
-/** Writer of the document. */
+/** Publisher of the document. */
 export interface LimitPublisher {
-  /** Has the limits written, the newest ones if they change meanwhile. */
+  /** Schedules a write of the limits; limits published before it starts replace them. */
   readonly publish: (limits: readonly NamedLimit[]) => void
   readonly close: Teardown
 }
 
-/** What the writer needs. */
+/** Options of the publisher. */
 export interface LimitPublisherOptions {
   readonly port: KeyValuePort
   readonly clock: Clock
@@ -52,10 +52,10 @@
 }
 
 /**
- * Makes the writer of the document.
+ * Creates a publisher of the document.
  *
- * @param options - the service
- * @returns the writer
+ * @param options - key-value service, clock and logger
+ * @returns the publisher
  */
 export function createLimitPublisher ({ clock, logger, port }: LimitPublisherOptions): LimitPublisher {
   const ended = new AbortController()
@@ -93,8 +93,8 @@
 /**
  * Decodes the document.
  *
- * @param text - JSON
- * @returns the limits, or what is wrong with the text
+ * @param text - JSON document
+ * @returns the limits, or a description of why the text is invalid
  */
 export function decodeLimits (text: string): Result<readonly NamedLimit[], string> {
   const checked = parseDocument(text, LIMITS_KEY).andThen((document) => checkDocument<{ readonly limits: readonly NamedLimit[] }>(LIMITS_SCHEMA, document, LIMITS_KEY))
--- a/packages/bendfall-edge/src/limits/BendfallEdgePermitDuty.ts
+++ b/packages/bendfall-edge/src/limits/BendfallEdgePermitDuty.ts
@@ -1,6 +1,6 @@
 /**
- * Takes part in the election of the entry that keeps the limits which replicas name, and
- * leases permits while this entry holds that duty.
+ * Joins the election of the leader that enforces the request rate limits advertised by
+ * replicas, and leases permits to entries while this entry is the leader.
  *
  * @module
  */
@@ -15,50 +15,51 @@
 import type { HolderNews, LeaseTiming } from '../pools/BendfallEdgeHolderLease.js'
 import { createLimitPublisher } from './BendfallEdgeLimitDocument.js'
 
-/** Key of the entry that keeps the limits. */
+/** Key that the leader holds. */
 export const PERMITS_KEY = 'bendfall/limits/keeper'
 
-/** Times of the duty: while nobody holds it, replicas in need get nothing, so that the lease is short. */
+/** Timing of the election. The lease is short because replicas whose permits are used up get no requests while there is no leader. */
 const TIMING: LeaseTiming = { leaseMs: 2_000, renewMs: 500, marginMs: 300, firstLookMs: 400, longestLookMs: 1_000 }
 
-/** Entries that see the key free take it one after the other, within this. */
+/** Maximum random delay before an entry takes a key that became free, so that entries don't take it all at once. */
 const CHECK_JITTER_MS = 300
 
 /**
- * A keeper that does not reach the key-value service leases a part of the limits for a time after
- * its lease: what the platform allows beyond a limit suffices for it and for a keeper that others chose.
+ * A leader that can't reach the key-value service leases this share of each limit for a time
+ * after its lease has lapsed. The platform's tolerance above a limit covers this share together
+ * with a leader that the other entries elected meanwhile.
  */
 const EXPIRED_LEASE_SHARE = 0.25
 const EXPIRED_LEASE_GRACE_MS = 10_000
 
-/** What the duty needs. */
+/** Options of the election. */
 export interface PermitDutyOptions {
   readonly port: KeyValuePort
   readonly clock: Clock
   readonly logger: Logger
-  /** This entry, as the others find it. */
+  /** Endpoint of this entry, which it announces when elected. */
   readonly own: KeeperPlace
-  /** @returns place of the keeper by the last word of the key-value service */
+  /** @returns endpoint of the leader by the last update from the key-value service */
   readonly placeOf: () => KeeperPlace | undefined
 }
 
-/** The duty of this entry. */
+/** Participation of this entry in the election. */
 export interface PermitDuty {
-  /** Leases permits, if this entry holds the duty. */
+  /** Leases permits while this entry is the leader and for a grace period afterwards; otherwise returns `unreachable`. */
   readonly lease: (request: PermitAsk) => PermitOutcome
-  /** Looks whether the duty is free: news came of it. */
+  /** Schedules a check of the key after a change was reported. */
   readonly look: () => void
-  /** @returns whether this entry holds the duty */
+  /** @returns whether this entry is the leader */
   readonly holds: () => boolean
-  /** Leaves the duty to others. */
+  /** Resigns and leaves the election. */
   readonly close: Teardown
 }
 
 /**
  * Joins the election.
  *
- * @param options - service and place
- * @returns the duty
+ * @param options - key-value service and endpoint of this entry
+ * @returns the participation
  */
 export function joinPermitDuty ({ clock, logger, own, placeOf, port }: PermitDutyOptions): PermitDuty {
   const candidateFromMs = clock.nowMs() + Math.random() * CHECK_JITTER_MS
@@ -74,7 +75,7 @@
     return leader === undefined && clock.nowMs() < candidateFromMs ? 'left_alone' : 'free'
   }
 
-  // What another process leased under the duty before is not known, so that each time begins anew.
+  // What previous leaders leased is unknown, so each term starts with new state.
   function currentShare (): number {
     const term = election.lastHeld()
     if (term === undefined || hasResigned) return 0
--- a/packages/bendfall-edge/src/limits/BendfallEdgePermits.ts
+++ b/packages/bendfall-edge/src/limits/BendfallEdgePermits.ts
@@ -1,6 +1,6 @@
 /**
- * Carries out the effect that asks for permits: at this entry where it keeps the limits of
- * replicas, else at the one that does. Serves the entries that ask this one.
+ * Handles the effect that requests permits for rate-limited replicas, at this entry if it is
+ * the leader and otherwise by a call to the leader. Serves such calls from other entries.
  *
  * @module
  */
@@ -15,32 +15,32 @@
 import { decodeLimits, LIMITS_KEY } from './BendfallEdgeLimitDocument.js'
 import { joinPermitDuty, PERMITS_KEY } from './BendfallEdgePermitDuty.js'
 
-/** What permits need. */
+/** Options of the permits. */
 export interface PermitOptions {
   readonly loop: UpdateLoop<RouterEvent, RouterEffect>
   readonly port: KeyValuePort
   readonly logger: Logger
-  /** This entry, as the others find it. */
+  /** Endpoint of this entry, which it announces when elected. */
   readonly own: KeeperPlace
 }
 
-/** Permits of an entry that runs. */
+/** Permits of a running entry. */
 export interface Permits {
-  /** Serves other entries. */
+  /** Registers the RPC handler for other entries. */
   readonly serve: (streams: StreamRoutes) => void
-  /** Takes what the key-value service tells of the keeper. */
+  /** Applies an update from the watch on the key-value service. */
   readonly learn: (entries: readonly KeyValueEntry[], removedKeys: readonly string[]) => void
-  /** @returns whether this entry keeps the limits */
+  /** @returns whether this entry is the leader */
   readonly holds: () => boolean
-  /** Leaves the duty to others, before the process stops. */
+  /** Resigns before the process stops. */
   readonly leave: Teardown
   readonly close: Teardown
 }
 
 /**
- * Starts to keep limits and to ask for permits.
+ * Joins the election and registers the handler of the effect.
  *
- * @param options - update path, service and place
+ * @param options - update loop, key-value service and endpoint of this entry
  * @returns the permits
  */
 export function registerPermits (options: PermitOptions): Permits {
