--- a/packages/bendfall-edge/src/allotments/BendfallEdgeAllotmentAsks.ts
+++ b/packages/bendfall-edge/src/allotments/BendfallEdgeAllotmentAsks.ts
@@ -17,7 +17,7 @@
 /** Maximum wait for the primary; being refused and retrying would cost the caller more time. */
 const PRIMARY_TIMEOUT_MS = 250
 
-/** Time after which a late answer that no request has claimed is handled. */
+/** Time after which the units of a late grant are given back if the caller's request hasn't used it. */
 const LATE_ANSWER_TTL_MS = 1_000
 
 /** Outcome of a request for units, with the role of the leader that it comes from. */
--- a/packages/bendfall-edge/src/peer/BendfallEdgeKeeperClient.ts
+++ b/packages/bendfall-edge/src/peer/BendfallEdgeKeeperClient.ts
@@ -1,6 +1,6 @@
 /**
  * Calls the entry that is the elected leader for a key. The leader is discovered by a watch on
- * the key-value service, and a leader that responds slowly is backed off from.
+ * the key-value service, and the client backs off while the leader responds slowly.
  *
  * @module
  */
