--- a/packages/bendfall-edge/src/allotments/BendfallEdgeAllotmentDuty.ts
+++ b/packages/bendfall-edge/src/allotments/BendfallEdgeAllotmentDuty.ts
@@ -1,6 +1,6 @@
 /**
- * Takes part in the election of the entries that keep the allotments, and keeps them while
- * this entry holds a duty.
+ * Joins the elections of the leaders that grant units of allotments, one for each role, and
+ * grants units while this entry is a leader.
  *
  * @module
  */
@@ -16,63 +16,63 @@
 import { keyOfRole } from './BendfallEdgeAllotmentDocument.js'
 
 /**
- * Times of the duty. A keeper goes on through an outage of the key-value service for as long
- * as keys are believed; one that is lost for good is replaced after the lease, for which the
- * reserve grants.
+ * Timing of the elections. A leader continues through an outage of the key-value service for as
+ * long as cached customer keys stay valid. A leader that is lost for good is replaced once its
+ * lease has lapsed; until then the reserve grants.
  */
 const TIMING: LeaseTiming = { leaseMs: 5_000, renewMs: 1_000, marginMs: 500, firstLookMs: 1_000, longestLookMs: 2_000 }
 
 /**
- * An entry that keeps one role, or could still get the first, takes the other only after it was free for so
- * long: lost with one instance, both would be missing. Longer than the wait for a holder of a former era,
- * after which all entries may take both.
+ * An entry that leads one role, or may still be elected primary, takes the other role only after
+ * it has been vacant for this long: if one instance led both, its loss would remove both. Longer
+ * than the wait for a leader of a previous era, after which every entry may take both.
  */
-const OTHER_ROLE_AFTER_MS = TIMING.leaseMs + 2_000
+const SECOND_ROLE_DELAY_MS = TIMING.leaseMs + 2_000
 
-/** Entries that see a key free look one after the other, within this. */
-const SPREAD_MS = 600
+/** Maximum random delay before an entry checks a key that became free, so that entries don't check all at once. */
+const CHECK_JITTER_MS = 600
 
-/** Units to take or give back. */
+/** Request to take or give back units. */
 export interface UnitsAsk {
   readonly role: AllotmentRole
   readonly customer: string
   readonly units: number
 }
 
-/** What the duties need. */
+/** Options of the elections. */
 export interface AllotmentDutyOptions {
   readonly port: KeyValuePort
   readonly clock: Clock
   readonly logger: Logger
-  /** This entry, as the others find it. */
+  /** Endpoint of this entry, which it announces when elected. */
   readonly own: KeeperPlace
   readonly bounds: AllotmentBounds
-  /** @returns customer of the configuration in force; undefined when it has none of that name */
+  /** @returns the customer in the active configuration; undefined if the name is unknown */
   readonly customerOf: (name: string) => Customer | undefined
-  /** @returns place of the keeper of a role, by the last word of the key-value service */
+  /** @returns endpoint of the leader of a role by the last update from the key-value service */
   readonly placeOf: (role: AllotmentRole) => KeeperPlace | undefined
-  /** @returns whether the deployment has allotments that somebody must keep */
+  /** @returns whether any customer has an allotment, so that leaders are needed */
   readonly isNeeded: () => boolean
 }
 
-/** The duties of this entry. */
+/** Participation of this entry in the elections of all roles. */
 export interface AllotmentDuties {
-  /** Takes units, if this entry holds the duty. */
-  readonly take: (ask: UnitsAsk) => UnitsOutcome
-  readonly giveBack: (ask: UnitsAsk) => void
-  /** Forgets customers that the configuration no longer has. */
+  /** Takes units if this entry is the leader of the role; otherwise returns `unreachable`. */
+  readonly take: (request: UnitsAsk) => UnitsOutcome
+  readonly giveBack: (request: UnitsAsk) => void
+  /** Drops the state of customers that are no longer configured. */
   readonly keepOnly: (names: ReadonlySet<string>) => void
-  /** Looks whether a duty is free: news came of one. */
+  /** Schedules a check for vacant roles after a change was reported. */
   readonly look: () => void
-  /** Takes the duties over that a former process of this instance held. */
+  /** Takes over the roles that a previous process of this instance was leading. */
   readonly reclaim: () => void
-  /** @returns whether this entry holds the duty */
+  /** @returns whether this entry is the leader of a role */
   readonly holds: (role: AllotmentRole) => boolean
-  /** Leaves the duties to others. */
+  /** Resigns from all roles and leaves the elections. */
   readonly close: Teardown
 }
 
-interface Duty {
+interface Candidacy {
   readonly election: HolderLease
   keeper?: AllotmentKeeper
   freeSinceMs?: number
@@ -81,74 +81,74 @@
 /**
  * Joins the elections of all roles.
  *
- * @param options - service, place and customers
- * @returns the duties
+ * @param options - key-value service, endpoint of this entry and customers
+ * @returns the participation
  */
 export function joinAllotmentDuties (options: AllotmentDutyOptions): AllotmentDuties {
   const { bounds, clock, customerOf, isNeeded, logger, own, placeOf, port } = options
-  const duties = new Map<AllotmentRole, Duty>()
+  const candidacies = new Map<AllotmentRole, Candidacy>()
   for (const role of ALLOTMENT_ROLES) {
-    const election = joinElection({ port, clock, logger, key: keyOfRole(role), holder: encodeKeeper(own), timing: TIMING, takesOverOwn: true, newsOf: () => newsOf(role) })
-    duties.set(role, { election })
+    const election = joinElection({ port, clock, logger, key: keyOfRole(role), holder: encodeKeeper(own), timing: TIMING, takesOverOwn: true, readAvailability: () => availabilityOf(role) })
+    candidacies.set(role, { election })
   }
-  let cancelLook: Teardown = () => {}
-
-  function newsOf (role: AllotmentRole): HolderNews {
-    const duty = duties.get(role)
-    const place = placeOf(role)
-    if (duty === undefined || !isNeeded()) return 'left_alone'
-    if (place !== undefined && place.instanceId !== own.instanceId) {
-      duty.freeSinceMs = undefined
+  let cancelCheck: Teardown = () => {}
+
+  function availabilityOf (role: AllotmentRole): HolderNews {
+    const candidacy = candidacies.get(role)
+    const leader = placeOf(role)
+    if (candidacy === undefined || !isNeeded()) return 'left_alone'
+    if (leader !== undefined && leader.instanceId !== own.instanceId) {
+      candidacy.freeSinceMs = undefined
       return 'held'
     }
-    duty.freeSinceMs ??= clock.nowMs()
-    return mayGetOther(role) && clock.nowMs() - duty.freeSinceMs < OTHER_ROLE_AFTER_MS ? 'left_alone' : 'free'
+    candidacy.freeSinceMs ??= clock.nowMs()
+    return mayLeadOtherRole(role) && clock.nowMs() - candidacy.freeSinceMs < SECOND_ROLE_DELAY_MS ? 'left_alone' : 'free'
   }
 
-  function mayGetOther (role: AllotmentRole): boolean {
+  function mayLeadOtherRole (role: AllotmentRole): boolean {
     if (role === 'reserve' && placeOf('primary') === undefined) return true
-    // The key-value service may tell of an own key before it has answered the write.
-    return ALLOTMENT_ROLES.some((other) => other !== role && (duties.get(other)?.election.fence() !== undefined || placeOf(other)?.instanceId === own.instanceId))
+    // The watch may deliver this entry's own key before the write of it has returned.
+    return ALLOTMENT_ROLES.some((other) => other !== role && (candidacies.get(other)?.election.fence() !== undefined || placeOf(other)?.instanceId === own.instanceId))
   }
 
-  // What another process granted under the duty before is not known, so that each time begins empty.
-  function keeperOf (role: AllotmentRole): AllotmentKeeper | undefined {
-    const duty = duties.get(role)
-    const sinceMs = duty?.election.heldSinceMs()
-    if (duty === undefined || sinceMs === undefined) return undefined
-    if (duty.keeper?.sinceMs !== sinceMs) duty.keeper = createAllotmentKeeper(role, bounds, sinceMs)
-    return duty.keeper
+  // What previous leaders granted is unknown, so each term starts with new state.
+  function leaderStateOf (role: AllotmentRole): AllotmentKeeper | undefined {
+    const candidacy = candidacies.get(role)
+    const sinceMs = candidacy?.election.heldSinceMs()
+    if (candidacy === undefined || sinceMs === undefined) return undefined
+    if (candidacy.keeper?.sinceMs !== sinceMs) candidacy.keeper = createAllotmentKeeper(role, bounds, sinceMs)
+    return candidacy.keeper
   }
 
   function take ({ customer: name, role, units }: UnitsAsk): UnitsOutcome {
-    const keeper = keeperOf(role)
+    const leaderState = leaderStateOf(role)
     const customer = customerOf(name)
-    if (keeper === undefined || customer === undefined) return { type: 'unreachable' }
-    return takeOfAllotment(keeper, customer, units, clock.nowMs())
+    if (leaderState === undefined || customer === undefined) return { type: 'unreachable' }
+    return takeOfAllotment(leaderState, customer, units, clock.nowMs())
   }
 
   function giveBack ({ customer: name, role, units }: UnitsAsk): void {
-    const keeper = keeperOf(role)
+    const leaderState = leaderStateOf(role)
     const customer = customerOf(name)
-    if (keeper !== undefined && customer !== undefined) giveBackToAllotment(keeper, customer, units, clock.nowMs())
+    if (leaderState !== undefined && customer !== undefined) giveBackToAllotment(leaderState, customer, units, clock.nowMs())
   }
 
-  function lookNow (): void {
-    for (const { election } of duties.values()) election.look()
+  function checkNow (): void {
+    for (const { election } of candidacies.values()) election.look()
   }
 
   function look (): void {
-    cancelLook()
-    cancelLook = clock.callAt(clock.nowMs() + Math.random() * SPREAD_MS, lookNow)
+    cancelCheck()
+    cancelCheck = clock.callAt(clock.nowMs() + Math.random() * CHECK_JITTER_MS, checkNow)
   }
 
   return {
     take,
     giveBack,
-    keepOnly: (names) => { for (const { keeper } of duties.values()) if (keeper !== undefined) keepCustomers(keeper, names) },
+    keepOnly: (names) => { for (const { keeper } of candidacies.values()) if (keeper !== undefined) keepCustomers(keeper, names) },
     look,
-    reclaim: lookNow,
-    holds: (role) => duties.get(role)?.election.fence() !== undefined,
-    close: combineTeardowns([() => cancelLook(), ...[...duties.values()].map(({ election }) => election.close)])
+    reclaim: checkNow,
+    holds: (role) => candidacies.get(role)?.election.fence() !== undefined,
+    close: combineTeardowns([() => cancelCheck(), ...[...candidacies.values()].map(({ election }) => election.close)])
   }
 }
--- a/packages/bendfall-edge/src/ledger/BendfallEdgeLedgerClients.ts
+++ b/packages/bendfall-edge/src/ledger/BendfallEdgeLedgerClients.ts
@@ -1,6 +1,6 @@
 /**
- * Calls the ledgers beside the model replicas: books memory for requests and
- * asks for the loads of the replicas.
+ * Handles the effects that call the ledgers beside the model replicas: reserves, confirms and
+ * releases memory for requests, announces prefills and reads the loads of replicas.
  *
  * @module
  */
@@ -8,62 +8,62 @@
 import type { Logger, Teardown, UpdateLoop } from 'bendfall-node'
 import { LedgerService } from 'bendfall-protocol'
 import type { ConfirmOutcome, Replica, ReserveOutcome, RouterEffect, RouterEffectOf, RouterEvent } from 'bendfall-router'
-import { CALL_SLACK_MS, fromMessage, toRequest, withTimeout } from './BendfallEdgeLedgerMessages.js'
+import { CALL_SLACK_MS, toReplicaLoad, toReserveRequest, withTimeout } from './BendfallEdgeLedgerMessages.js'
 import { createLedgerSessions } from './BendfallEdgeLedgerSessions.js'
-import { registerLoadAsks } from './BendfallEdgeLoadAsks.js'
+import { registerLoadRequests } from './BendfallEdgeLoadAsks.js'
 
-/** A prompt that nobody says was read is shown to others for this long and the time that ledgers add. */
-const PREFILL_SHOWN_MS = 500
+/** Lead time of an announced prefill: if it is never reported as done, other entries see it for this long plus the grace time of the ledgers. */
+const ANNOUNCED_LEAD_MS = 500
 
-/** What the clients need. */
+/** Options of the clients. */
 export interface LedgerClientOptions {
   readonly loop: UpdateLoop<RouterEvent, RouterEffect>
   readonly logger: Logger
-  /** Port of the ledgers, the same on all instances. */
+  /** Port on which ledgers listen, the same on all instances. */
   readonly port: number
 }
 
-/** Ledgers of the replicas that are known. */
+/** Clients of the ledgers of all known replicas. */
 export interface LedgerClients {
-  /** Takes the replicas that are known; connections to the ledgers of others end. */
+  /** Sets the known replicas and closes the connections to the ledgers of all others. */
   readonly keepOnly: (replicas: Iterable<Replica>) => void
   readonly close: Teardown
 }
 
 /**
- * Registers the effects that call ledgers.
+ * Registers the handlers of the effects that call ledgers.
  *
- * @param options - update path and the ledgers' port
+ * @param options - update loop and port of the ledgers
  * @returns the clients
  */
 export function registerLedgerClients (options: LedgerClientOptions): LedgerClients {
   const { logger, loop, port } = options
   const sessions = createLedgerSessions(port)
-  const asks = new Map<string, AbortController>()
+  const pendingReserves = new Map<string, AbortController>()
 
   async function reserve (effect: RouterEffectOf<'reserve'> | RouterEffectOf<'queue_prefill'>): Promise<ReserveOutcome> {
     const session = sessions.of(effect.replicaId)
     if (session === undefined) return { type: 'unreachable' }
-    const given = new AbortController()
-    asks.set(effect.bookingId, given)
+    const cancellation = new AbortController()
+    pendingReserves.set(effect.bookingId, cancellation)
     const timeoutMs = effect.maxWaitMs + CALL_SLACK_MS
     try {
-      const answer = await withTimeout(callUnary(session, LedgerService.method.reserve, toRequest(effect), { timeoutMs, signal: given.signal }), timeoutMs)
-      if (answer.load !== undefined) loop.dispatch({ type: 'load_learned', load: fromMessage(effect.replicaId, answer.load) })
+      const answer = await withTimeout(callUnary(session, LedgerService.method.reserve, toReserveRequest(effect), { timeoutMs, signal: cancellation.signal }), timeoutMs)
+      if (answer.load !== undefined) loop.dispatch({ type: 'load_learned', load: toReplicaLoad(effect.replicaId, answer.load) })
       if (answer.replicaLost) return { type: 'replica_lost' }
       return answer.granted ? { type: 'granted' } : { type: 'refused', retryAfterMs: answer.retryAfterMs }
     } catch (error) {
-      if (!given.signal.aborted) logger.warn('ledger_unreachable', { replica: effect.replicaId, booking: effect.bookingId, error })
+      if (!cancellation.signal.aborted) logger.warn('ledger_unreachable', { replica: effect.replicaId, booking: effect.bookingId, error })
       return { type: 'unreachable' }
     } finally {
-      asks.delete(effect.bookingId)
+      pendingReserves.delete(effect.bookingId)
     }
   }
 
   function announce ({ bookingId, promptTokens, replicaId }: RouterEffectOf<'announce_prefill'>): void {
     const session = sessions.of(replicaId)
     if (session === undefined) return
-    const request = { requestId: bookingId.slice(0, bookingId.lastIndexOf('/')), bookingId, promptTokens, leadMs: PREFILL_SHOWN_MS }
+    const request = { requestId: bookingId.slice(0, bookingId.lastIndexOf('/')), bookingId, promptTokens, leadMs: ANNOUNCED_LEAD_MS }
     callUnary(session, LedgerService.method.reserve, request, { timeoutMs: CALL_SLACK_MS }).catch((error: unknown) => {
       logger.debug('announcement_lost', { replica: replicaId, booking: bookingId, error })
     })
@@ -84,10 +84,10 @@
   }
 
   function release ({ bookingId, replicaId }: RouterEffectOf<'release'>): void {
-    asks.get(bookingId)?.abort()
+    pendingReserves.get(bookingId)?.abort()
     const session = sessions.of(replicaId)
     if (session === undefined) return
-    // A release that is lost is made up for by the replica's own report.
+    // The next report of the replica corrects its ledger if the release is lost.
     callUnary(session, LedgerService.method.release, { bookingId }, { timeoutMs: CALL_SLACK_MS }).catch((error: unknown) => {
       logger.debug('release_lost', { replica: replicaId, booking: bookingId, error })
     })
@@ -95,7 +95,7 @@
 
   const teardown = combineTeardowns([
     sessions.closeAll,
-    registerLoadAsks({ loop, logger, sessions }),
+    registerLoadRequests({ loop, logger, sessions }),
     loop.registerEffect('reserve', (effect) => {
       reserve(effect).then((outcome) => loop.dispatch({ type: 'reserve_answered', key: effect.key, attempt: effect.attempt, outcome }),
         (error: unknown) => logger.error('reserve_failed', { booking: effect.bookingId, error }))
--- a/packages/bendfall-edge/src/peer/BendfallEdgeKeeperClient.ts
+++ b/packages/bendfall-edge/src/peer/BendfallEdgeKeeperClient.ts
@@ -1,5 +1,6 @@
 /**
- * Asks the entry that keeps something for all of them, wherever it is.
+ * Calls the entry that is the elected leader for a key. The leader is discovered by a watch on
+ * the key-value service, and the client backs off while the leader responds slowly.
  *
  * @module
  */
@@ -10,108 +11,108 @@
 import type { KeeperPlace } from './BendfallEdgeKeeperPlace.js'
 import { createPeerSession } from './BendfallEdgePeerSession.js'
 
-/** A keeper that takes longer counts as slow, and an ask is given up then unless it says otherwise. */
-const ASK_TIMEOUT_MS = 80
+/** Default timeout of a call, and the time after which the leader counts as slow. */
+const CALL_TIMEOUT_MS = 80
 
-/** While a keeper is slow it is not asked, for so long. */
-const PAUSE_MS = 250
+/** Time for which a slow leader receives no calls, except those that ignore the backoff. */
+const BACKOFF_MS = 250
 
-/** What a client needs. */
+/** Options of a client. */
 export interface KeeperClientOptions {
   readonly clock: Clock
   readonly logger: Logger
-  /** This entry, which needs no call to itself. */
+  /** Endpoint of this entry, which makes no calls to itself. */
   readonly own: KeeperPlace
-  /** Key at which the keeper stands. */
+  /** Key that holds the leader's endpoint. */
   readonly key: string
 }
 
-/** Makes one call over a connection to the keeper, given up after a time. */
+/** Makes one call over a connection to the leader, with a timeout. */
 export type KeeperCall<T> = (session: AnsweringSessionManager, options: { readonly timeoutMs: number }) => Promise<T>
 
-/** How long an ask may take. */
+/** Timeout and backoff of a single request. */
 export interface KeeperAskOptions {
-  /** The answer is waited for so long. */
+  /** Maximum wait for the response; absent: {@link CALL_TIMEOUT_MS}. */
   readonly longestMs?: number
-  /** Whether a slow keeper is asked all the same. */
+  /** Whether the call is made even while the client backs off from a slow leader. */
   readonly ignoresPause?: boolean
 }
 
-/** Way to a keeper. */
+/** Client of an elected leader. */
 export interface KeeperClient {
-  /** @returns the keeper by the last word of the key-value service */
+  /** @returns endpoint of the leader by the last update from the key-value service */
   readonly place: () => KeeperPlace | undefined
   /**
-   * Takes what the key-value service tells.
+   * Applies an update from the watch on the key-value service.
    *
-   * @returns whether another entry is the keeper now, or none
+   * @returns whether the leader changed, to another entry or to none
    */
-  readonly learn: (present: readonly KeyValueEntry[], goneKeys: readonly string[]) => boolean
-  /** @returns the keeper's answer; undefined when there is none in time, or no other entry to ask */
-  readonly ask: <T>(call: KeeperCall<T>, options?: KeeperAskOptions) => Promise<T | undefined>
-  /** Tells the keeper what needs no answer. */
-  readonly tell: (call: KeeperCall<unknown>) => void
+  readonly learn: (entries: readonly KeyValueEntry[], removedKeys: readonly string[]) => boolean
+  /** @returns the leader's response; undefined when it timed out or failed, or when no other entry is the leader */
+  readonly ask: <T>(makeCall: KeeperCall<T>, options?: KeeperAskOptions) => Promise<T | undefined>
+  /** Sends a message to the leader without waiting for the response. */
+  readonly tell: (makeCall: KeeperCall<unknown>) => void
   readonly close: () => void
 }
 
-interface Keeper {
-  readonly place: KeeperPlace
+interface KnownLeader {
+  readonly endpoint: KeeperPlace
   readonly session: AnsweringSessionManager
-  pausedUntilMs: number
+  backoffUntilMs: number
 }
 
 /**
- * Makes the way to a keeper that is not known yet.
+ * Creates a client whose leader is unknown until the first update.
  *
- * @param options - key and this entry
- * @returns the way
+ * @param options - key of the leader and endpoint of this entry
+ * @returns the client
  */
 export function createKeeperClient ({ clock, key, logger, own }: KeeperClientOptions): KeeperClient {
-  let keeper: Keeper | undefined
+  let leader: KnownLeader | undefined
 
-  function set (place: KeeperPlace | undefined): boolean {
-    if (keeper?.place.address === place?.address && keeper?.place.instanceId === place?.instanceId) return false
-    keeper?.session.abort()
-    keeper = place === undefined ? undefined : { place, session: createPeerSession(place.address), pausedUntilMs: -Infinity }
-    logger.info('keeper', { key, keeper: place?.instanceId })
+  function setLeader (endpoint: KeeperPlace | undefined): boolean {
+    if (leader?.endpoint.address === endpoint?.address && leader?.endpoint.instanceId === endpoint?.instanceId) return false
+    leader?.session.abort()
+    leader = endpoint === undefined ? undefined : { endpoint, session: createPeerSession(endpoint.address), backoffUntilMs: -Infinity }
+    logger.info('keeper', { key, keeper: endpoint?.instanceId })
     return true
   }
 
-  function learn (present: readonly KeyValueEntry[], goneKeys: readonly string[]): boolean {
-    const entry = present.find((one) => one.key === key)
-    if (entry === undefined) return goneKeys.includes(key) && set(undefined)
-    const place = decodeKeeper(entry.value, key)
-    if (place.isErr()) logger.warn('keeper_unreadable', { key, revision: entry.revision, detail: place.error })
-    return set(place.unwrapOr(undefined))
+  function learn (entries: readonly KeyValueEntry[], removedKeys: readonly string[]): boolean {
+    const entry = entries.find((one) => one.key === key)
+    if (entry === undefined) return removedKeys.includes(key) && setLeader(undefined)
+    const endpoint = decodeKeeper(entry.value, key)
+    if (endpoint.isErr()) logger.warn('keeper_unreadable', { key, revision: entry.revision, detail: endpoint.error })
+    return setLeader(endpoint.unwrapOr(undefined))
   }
 
-  async function ask <T> (call: KeeperCall<T>, { ignoresPause = false, longestMs = ASK_TIMEOUT_MS }: KeeperAskOptions = {}): Promise<T | undefined> {
-    const asked = keeper
-    if (asked === undefined || asked.place.instanceId === own.instanceId) return undefined
-    if (asked.pausedUntilMs > clock.nowMs() && !ignoresPause) return undefined
-    const cancelPause = clock.callAt(clock.nowMs() + ASK_TIMEOUT_MS, () => pause(asked))
+  async function ask <T> (makeCall: KeeperCall<T>, { ignoresPause = false, longestMs = CALL_TIMEOUT_MS }: KeeperAskOptions = {}): Promise<T | undefined> {
+    const target = leader
+    if (target === undefined || target.endpoint.instanceId === own.instanceId) return undefined
+    if (target.backoffUntilMs > clock.nowMs() && !ignoresPause) return undefined
+    const cancelBackoff = clock.callAt(clock.nowMs() + CALL_TIMEOUT_MS, () => startBackoff(target))
     try {
-      return await withTimeout(call(asked.session, { timeoutMs: longestMs }), longestMs)
+      return await withTimeout(makeCall(target.session, { timeoutMs: longestMs }), longestMs)
     } catch (error) {
-      logger.warn('keeper_unreachable', { key, keeper: asked.place.instanceId, error })
-      pause(asked)
+      logger.warn('keeper_unreachable', { key, keeper: target.endpoint.instanceId, error })
+      startBackoff(target)
       return undefined
     } finally {
-      cancelPause()
+      cancelBackoff()
     }
   }
 
-  function pause (asked: Keeper): void {
-    asked.pausedUntilMs = clock.nowMs() + PAUSE_MS
+  function startBackoff (target: KnownLeader): void {
+    target.backoffUntilMs = clock.nowMs() + BACKOFF_MS
   }
 
-  function tell (call: KeeperCall<unknown>): void {
-    if (keeper === undefined) return
-    const { place, session } = keeper
-    call(session, { timeoutMs: ASK_TIMEOUT_MS }).catch((error: unknown) => {
-      logger.debug('keeper_not_told', { key, keeper: place.instanceId, error })
+  function tell (makeCall: KeeperCall<unknown>): void {
+    if (leader === undefined) return
+    const { endpoint, session } = leader
+    makeCall(session, { timeoutMs: CALL_TIMEOUT_MS }).catch((error: unknown) => {
+      logger.debug('keeper_not_told', { key, keeper: endpoint.instanceId, error })
     })
   }
 
-  return { place: () => keeper?.place, learn, ask, tell, close: () => keeper?.session.abort() }
+  return { place: () => leader?.endpoint, learn, ask, tell, close: () => leader?.session.abort() }
 }
