--- a/packages/bendfall/src/BendfallMain.ts
+++ b/packages/bendfall/src/BendfallMain.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * Command line of the service.
+ * Command line of the service: runs one role, or checks a settings file.
  *
  * @module
  */
@@ -17,7 +17,7 @@
 })
 
 const sidecar = defineCommand({
-  meta: { name: 'sidecar', description: 'Guard the upstream of this instance' },
+  meta: { name: 'sidecar', description: 'Control access to the upstream of this instance' },
   args: SETTINGS_ARG,
   run: async ({ args }) => await runRole('sidecar', args.settings, PROCESS_OUTPUT)
 })
--- a/packages/bendfall/src/BendfallPlatformMain.ts
+++ b/packages/bendfall/src/BendfallPlatformMain.ts
@@ -1,6 +1,7 @@
 #!/usr/bin/env node
 /**
- * Command line of the service on the users' platform.
+ * Command line of the service on the users' platform, where the path of the settings file
+ * comes from an environment variable.
  *
  * @module
  */
@@ -15,21 +16,22 @@
 import { EXIT_FAILED } from './BendfallRole.js'
 import { EXIT_FINDINGS } from './BendfallSettingsFile.js'
 
-/** Ports of the metrics; they stand in the deploy file too. */
+/** Ports of the metrics servers; the deploy file lists them too. */
 const METRICS_PORTS = { entry: 9464, sidecar: 9465 } as const
 
-/** Asked once, a process stops; asked again, it goes on stopping. */
+/** The first of these signals starts the shutdown; later ones are ignored. */
 const STOP_SIGNALS = ['SIGINT', 'SIGTERM'] as const
 
 type RoleName = keyof typeof METRICS_PORTS
 
-interface Running {
+/** A started process of either role. */
+interface RunningProcess {
   readonly stop: () => Promise<void>
-  /** Cuts what callers wait for, at once; absent where there are no callers. */
-  readonly cutOpen?: () => void
+  /** Aborts all open responses at once; absent for roles without callers. */
+  readonly cutOpenResponses?: () => void
 }
 
-type Starter = (settings: EdgeSettings, logger: Logger, metrics: Metrics) => Promise<Running>
+type Starter = (settings: EdgeSettings, logger: Logger, metrics: Metrics) => Promise<RunningProcess>
 
 const STARTERS: Readonly<Record<RoleName, Starter>> = {
   entry: async (settings, logger, metrics) => {
@@ -37,7 +39,7 @@
     const poolIntent = await loadPoolIntent(settings, logger)
     const entry = await startEntry({ settings, logger, metrics, dialect: PLATFORM_DIALECT, keyValue, poolIntent })
     return {
-      cutOpen: entry.cutOpen,
+      cutOpenResponses: entry.cutOpen,
       stop: async () => {
         await entry.stop()
         await keyValue.close()
@@ -47,7 +49,7 @@
   sidecar: (settings, logger, metrics) => startSidecar({ settings, logger, metrics, dialect: PLATFORM_DIALECT })
 }
 
-// Without a confirmed intent the pools stay as they are; that is no reason to refuse service.
+// Without a confirmed intent the pools are left as they are, and the entry starts all the same.
 async function loadPoolIntent ({ poolsFile }: EdgeSettings, logger: Logger): Promise<PoolIntent | undefined> {
   if (poolsFile === undefined) return undefined
   const document = await readPoolDocument(poolsFile)
@@ -79,25 +81,26 @@
   if (settings === undefined) return
   const output = createLogOutput(process.stdout)
   const logger = createLogger({ level: settings.log?.level ?? 'info', base: { instance: settings.instanceId }, write: output.write })
-  const setRunning = registerEnds(logger)
+  const setRunning = registerShutdownHandlers(logger)
   const metrics = createMetrics()
   metrics.gauge('bendfall_log_lines_dropped_total', output.dropped)
   const metricsServer = createMetricsServer(metrics)
-  // Metrics are no reason to refuse service.
+  // The process serves requests even if the metrics server can't listen.
   metricsServer.on('error', (error) => logger.error('metrics_unavailable', { error }))
   metricsServer.listen(METRICS_PORTS[role], settings.ip)
   setRunning(await STARTERS[role](settings, logger, metrics))
 }
 
-// At its end the kernel closes the connections of a process in order, which makes half an
-// answer whose end only its connection tells look whole: 30 of 30 at the end of the grace
-// time, as many after an error. So each end that the process learns of cuts what is open.
-function registerEnds (logger: Logger): (started: Running) => void {
-  let running: Running | undefined
+// When a process exits, the kernel closes its connections in an orderly way, so that a
+// truncated close-delimited response looks complete: 30 of 30 did at the end of the grace
+// period, and 30 of 30 after an error. So every exit that the process can observe first
+// aborts the open responses.
+function registerShutdownHandlers (logger: Logger): (started: RunningProcess) => void {
+  let running: RunningProcess | undefined
   let isStopping = false
-  process.on('exit', () => running?.cutOpen?.())
+  process.on('exit', () => running?.cutOpenResponses?.())
   process.once('uncaughtException', (error) => {
-    running?.cutOpen?.()
+    running?.cutOpenResponses?.()
     logger.error('process_failed', { error })
     process.exit(EXIT_FAILED)
   })
@@ -112,7 +115,7 @@
   return (started) => { running = started }
 }
 
-function stop (logger: Logger, running: Running | undefined): void {
+function stop (logger: Logger, running: RunningProcess | undefined): void {
   if (running === undefined) process.exit()
   running.stop().then(() => process.exit(), (error: unknown) => {
     logger.error('stop_failed', { error })
@@ -120,8 +123,8 @@
   })
 }
 
-// Every setting belongs to the process's place on the platform, which does not
-// change while it runs; what may change comes with the configuration.
+// Only validates the settings file: every setting belongs to the process's place on the
+// platform, which does not change while it runs. What may change is in the configuration.
 function reload (logger: Logger): void {
   readEdgeSettings(process.env[SETTINGS_VARIABLE] ?? '').then((settings) => {
     if (settings.isOk()) logger.info('reloaded', { instanceId: settings.value.instanceId })
@@ -150,5 +153,5 @@
 
 await runMain(defineCommand({
   meta: { name: 'bendfall', description: 'Router for separate prefill and decode pools of language models' },
-  subCommands: { check, entry: command('entry', 'Serve callers'), sidecar: command('sidecar', 'Keep the ledger of the replica on this instance') }
+  subCommands: { check, entry: command('entry', 'Serve callers'), sidecar: command('sidecar', 'Run the ledger of the replica on this instance') }
 }))
--- a/packages/bendfall/src/BendfallRole.ts
+++ b/packages/bendfall/src/BendfallRole.ts
@@ -1,5 +1,5 @@
 /**
- * Runs a role of the service until it has stopped.
+ * Runs one role of the service until it has stopped, and reports a failure to start.
  *
  * @module
  */
@@ -7,16 +7,16 @@
 import { loadSettings } from './BendfallSettingsFile.js'
 import type { CommandOutput, Role } from './BendfallSettingsFile.js'
 
-/** Exit code of a process that could not start. */
+/** Exit code of a process that failed to start, run or stop. */
 export const EXIT_FAILED = 1
 
 /**
- * Runs a process. SIGTERM and SIGINT are a graceful shutdown.
+ * Runs a process until it stops. SIGTERM and SIGINT shut it down gracefully.
  *
  * @param role - role that the settings must have
  * @param path - path of the settings file
- * @param output - where findings and errors go
- * @returns when the process has stopped, or could not start
+ * @param output - receives findings and errors
+ * @returns promise that resolves once the process has stopped or failed to start
  */
 export async function runRole (role: Role, path: string, output: CommandOutput): Promise<void> {
   const settings = await loadSettings(path, role, output)
--- a/packages/bendfall/src/BendfallSettingsFile.ts
+++ b/packages/bendfall/src/BendfallSettingsFile.ts
@@ -1,5 +1,6 @@
 /**
- * Loads settings for a command and tells people what is wrong with them.
+ * Loads the settings file of a command, and prints all findings at once so that they can be
+ * fixed together.
  *
  * @module
  */
@@ -9,10 +10,10 @@
 /** Exit code of a process whose settings have findings. */
 export const EXIT_FINDINGS = 2
 
-/** Role that a command asks for. */
+/** Role of a process. */
 export type Role = Settings['role']
 
-/** Where a command writes to. */
+/** Error output and exit code of a command. */
 export interface CommandOutput {
   readonly writeError: (text: string) => void
   readonly setExitCode: (code: number) => void
@@ -25,12 +26,12 @@
 }
 
 /**
- * Loads a settings file. Findings go to the error output, all at once, and set
+ * Loads a settings file. Findings are written to the error output, all at once, and set
  * the exit code.
  *
  * @param path - path of the file
  * @param role - role that the settings must have, if any
- * @param output - where findings go
+ * @param output - receives findings
  * @returns the settings, or undefined when there are findings
  */
 export async function loadSettings (path: string, role: Role | undefined, output: CommandOutput): Promise<Settings | undefined> {
--- a/packages/bendfall/src/__tests__/unit/BendfallDays.test.ts
+++ b/packages/bendfall/src/__tests__/unit/BendfallDays.test.ts
@@ -5,14 +5,14 @@
 
 const FOLDER = new URL('../../../../../deploy/days/', import.meta.url)
 
-/** Names that stand for something on any deployment. */
+/** Placeholders that are replaced by names of the deployment on which a scenario runs. */
 const PLACEHOLDERS: ReadonlySet<unknown> = new Set(['@c0', '@s0', '@z0'])
-const PLACES = ['service', 'class', 'zone', 'to_zone', 'region'] as const
+const DEPLOYMENT_FIELDS = ['service', 'class', 'zone', 'to_zone', 'region'] as const
 
 interface Step {
   readonly kind: string
   readonly at: number
-  readonly [place: string]: unknown
+  readonly [field: string]: unknown
 }
 
 interface Day {
@@ -23,14 +23,14 @@
 
 const files = readdirSync(FOLDER).filter((file) => file.endsWith('.toml'))
 
-test('there are days to play', () => {
+test('there are at least eight scenario files', () => {
   assert.ok(files.length >= 8)
 })
 
 for (const file of files) {
   const text = readFileSync(new URL(file, FOLDER), 'utf8')
 
-  test(`${file} says what it guards and parses`, () => {
+  test(`${file} parses and states what it guards against`, () => {
     const day = parse(text) as unknown as Day
     assert.match(text, /^# Guards: /)
     assert.is(`${day.name}.toml`, file)
@@ -40,10 +40,10 @@
     }
   })
 
-  test(`${file} names no deployment`, () => {
+  test(`${file} uses placeholders instead of deployment names`, () => {
     const day = parse(text) as unknown as Day
     for (const step of [...day.plan, ...day.faults]) {
-      const named = PLACES.map((place) => step[place]).filter((name) => name !== undefined)
+      const named = DEPLOYMENT_FIELDS.map((field) => step[field]).filter((name) => name !== undefined)
       assert.ok(named.every((name) => PLACEHOLDERS.has(name)), JSON.stringify(step))
     }
   })
--- a/packages/bendfall/src/__tests__/unit/BendfallMain.test.ts
+++ b/packages/bendfall/src/__tests__/unit/BendfallMain.test.ts
@@ -30,7 +30,7 @@
   await use(path).finally(async () => await rm(directory, { recursive: true }))
 }
 
-test('check passes good settings', async () => {
+test('check accepts valid settings', async () => {
   await withFile(SETTINGS, async (path) => {
     assert.equal(await run(['check', path]), { code: 0, stdout: `${path}: no findings\n`, stderr: '' })
   })
@@ -47,13 +47,13 @@
   })
 })
 
-test('a role refuses the settings of the other', async () => {
+test('a role rejects the settings of the other role', async () => {
   await withFile(SETTINGS, async (path) => {
     assert.equal(await run(['sidecar', '--settings', path]), { code: 2, stdout: '', stderr: `${path}#/role: expected "sidecar", found "entry"\n` })
   })
 })
 
-test('an address that cannot be bound ends the process with 1', async () => {
+test('a process that cannot bind its address exits with 1', async () => {
   await withFile({ ...SETTINGS, listen: { ...SETTINGS.listen, callers: '192.0.2.1:0' } }, async (path) => {
     const { code, stderr } = await run(['entry', '--settings', path])
     assert.is(code, 1)
@@ -61,7 +61,7 @@
   })
 })
 
-test('an entry listens, and stops with 0 on SIGTERM', async () => {
+test('an entry listens, and exits with 0 on SIGTERM', async () => {
   await withFile(SETTINGS, async (path) => {
     const child = spawn(process.execPath, [MAIN, 'entry', '--settings', path])
     for await (const line of createInterface(child.stdout)) {
