--- a/packages/bendfall-platform/src/BendfallPlatformAnswer.ts
+++ b/packages/bendfall-platform/src/BendfallPlatformAnswer.ts
@@ -1,18 +1,18 @@
 /**
- * Checks of JSON answers before they are taken for typed outcomes.
+ * Runtime checks of JSON responses before they are used as typed outcomes.
  *
  * @module
  */
 import { Err, Ok } from 'ts-results-es'
 import type { Result } from 'ts-results-es'
 
-/** Tells whether a value of an answer is usable. */
+/** Returns whether a value of a response has the expected type. */
 export type FieldCheck = (value: unknown) => boolean
 
-/** Fields that an object must have. Other fields are left alone. */
+/** Fields that an object must have. Additional fields are allowed. */
 export type Shape = Readonly<Record<string, FieldCheck>>
 
-/** Shape of each answer, by its `type` field. */
+/** Shape of each kind of response, by its `type` field. */
 export type ShapesByType = Readonly<Record<string, Shape>>
 
 /** Accepts strings. */
@@ -25,7 +25,7 @@
 export const isFlag: FieldCheck = (value) => typeof value === 'boolean'
 
 /**
- * Accepts arrays of accepted items.
+ * Creates a check that accepts arrays whose items all pass another check.
  *
  * @param isItem - check of one item
  * @returns the check of the array
@@ -35,9 +35,9 @@
 }
 
 /**
- * Accepts objects with the fields of a shape.
+ * Creates a check that accepts objects with the fields of a shape.
  *
- * @param shape - the fields
+ * @param shape - required fields with their checks
  * @returns the check of the object
  */
 export function isObjectOf (shape: Shape): FieldCheck {
@@ -45,20 +45,20 @@
 }
 
 /**
- * Parses an answer whose `type` field names its shape.
+ * Parses a response and checks it against the shape that its `type` field selects.
  *
  * @param text - JSON as received
  * @param shapes - shape of each known type
- * @returns the answer, or what is wrong with it
+ * @returns the response, or why it was rejected
  */
 export function parseAnswer<T extends { readonly type: string }> (text: string | Uint8Array, shapes: ShapesByType): Result<T, string> {
   const parsed = parseJson(text)
-  if (typeof parsed !== 'object' || parsed === null) return Err('answer is not a JSON object')
-  const answer = parsed as Record<string, unknown>
-  const type = String(answer['type'])
-  if (!Object.hasOwn(shapes, type)) return Err('answer is of no known type')
-  if (!hasShape(answer, shapes[type] as Shape)) return Err(`answer of type ${type} lacks fields`)
-  return Ok(answer as unknown as T)
+  if (typeof parsed !== 'object' || parsed === null) return Err('response is not a JSON object')
+  const response = parsed as Record<string, unknown>
+  const type = String(response['type'])
+  if (!Object.hasOwn(shapes, type)) return Err('response has an unknown type')
+  if (!hasShape(response, shapes[type] as Shape)) return Err(`response of type ${type} has missing or invalid fields`)
+  return Ok(response as unknown as T)
 }
 
 function hasShape (value: Record<string, unknown>, shape: Shape): boolean {
--- a/packages/bendfall-platform/src/BendfallPlatformHttp.ts
+++ b/packages/bendfall-platform/src/BendfallPlatformHttp.ts
@@ -1,6 +1,6 @@
 /**
- * One HTTP exchange with a typed failure: the base of all HTTP adapters.
- * Nothing is retried, and a failure tells whether bytes may have been sent.
+ * HTTP exchanges with typed failures, on which all HTTP adapters are built. Nothing is
+ * retried, and a failure states whether bytes may have been sent.
  *
  * @module
  */
@@ -8,10 +8,10 @@
 import type { Result } from 'ts-results-es'
 import { Agent } from 'undici'
 import type { Dispatcher } from 'undici'
-import { createConnectionEnds, framingOf } from './BendfallPlatformHttpEnds.js'
-import type { AnswerFraming, ConnectionEnds } from './BendfallPlatformHttpEnds.js'
-import { createAnswerReader, createLineReader } from './BendfallPlatformHttpReaders.js'
-import type { AnswerReader } from './BendfallPlatformHttpReaders.js'
+import { createConnectionMonitor, framingOf } from './BendfallPlatformHttpEnds.js'
+import type { AnswerFraming, ConnectionMonitor } from './BendfallPlatformHttpEnds.js'
+import { createLineReader, createResponseReader } from './BendfallPlatformHttpReaders.js'
+import type { ResponseReader } from './BendfallPlatformHttpReaders.js'
 import { createSentRequestIds } from './BendfallPlatformHttpRequestIds.js'
 import type { SentRequestIds } from './BendfallPlatformHttpRequestIds.js'
 import { createSendOnce } from './BendfallPlatformHttpSendOnce.js'
@@ -19,142 +19,143 @@
 
 const DEFAULT_CONNECT_TIMEOUT_MS = 1_000
 const DEFAULT_MAX_BODY_BYTES = 16 * 1024 * 1024
-const FIRST_FINAL_STATUS = 200
+const MIN_FINAL_STATUS = 200
 const REQUEST_ID_HEADER = 'x-request-id'
 
-/** Settings of an exchanger. */
+/** Options of an exchanger. */
 export interface HttpOptions {
   /** Origin of the server, for example `http://127.0.0.1:8080`. */
   readonly origin: string
   readonly connectTimeoutMs?: number
-  /** Longest body that is read. */
+  /** Size limit of a response body; for lines, of one line. */
   readonly maxBodyBytes?: number
   /**
-   * After a call that got no answer in time, later calls use new connections: those that
-   * are kept may have gone silent together, and each would cost a timeout of its own.
+   * After a call timed out, later calls use new connections. The kept ones may all have
+   * stopped responding at once, and each would cost a timeout of its own.
    */
   readonly renewsAfterTimeout?: boolean
 }
 
-/** One request. */
+/** A request to the origin. */
 export interface HttpRequest {
   readonly method: string
-  /** Path with query. */
+  /** Path with query string. */
   readonly path: string
   readonly headers?: Readonly<Record<string, string>>
   readonly body?: Uint8Array | string
   /**
-   * Goes with the request as `x-request-id`. An answer that names another request sent
-   * before is a second answer to that one: the call fails as broken.
+   * Sent as `x-request-id`. A response with the id of another recent request is a
+   * duplicate response to that one, and the call fails as `broken`.
    */
   readonly requestId?: string
   /**
-   * Longest time to the end of the answer; for streams, between two chunks. A
-   * connection that is being opened is waited for up to `connectTimeoutMs`.
+   * Longest time without data of the response: up to its first chunk, and between two
+   * chunks. A connection that is being opened is still waited for, up to `connectTimeoutMs`.
    */
   readonly timeoutMs: number
   readonly signal?: AbortSignal
-  /** Uses a connection of its own, so that no stale one can break the call. */
+  /** Uses a new connection, so that the call cannot fail because of a stale one. */
   readonly freshConnection?: boolean
 }
 
-/** A whole answer. */
+/** A complete response. */
 export interface HttpAnswer {
   readonly status: number
   readonly contentType: string
-  /** Empty when the answer names none. */
+  /** Empty if the response has none. */
   readonly contentEncoding: string
-  /** Empty when the answer has none. */
+  /** Empty if the response has none. */
   readonly etag: string
-  /** @returns a header by its name in lower case; empty when the answer has none */
+  /** @returns the value of a header, given its name in lower case; empty if the response has none */
   readonly headerOf: (name: string) => string
   readonly body: Uint8Array
 }
 
-/** Why no whole answer came. `reached`: bytes may have reached the server. */
+/** Why there is no complete response. `reached`: bytes may have reached the server. */
 export interface HttpFailure {
   readonly kind: 'aborted' | 'broken' | 'timeout' | 'too_large'
   readonly reached: boolean
   readonly detail: string
 }
 
-/** Sends requests to one origin. Never throws and never sends one twice. */
+/** Sends requests to one origin. Never throws, and never sends a request twice. */
 export interface HttpExchanger {
   readonly send: (request: HttpRequest) => Promise<Result<HttpAnswer, HttpFailure>>
-  /** Hands each line of the answer to `onLine`; gives the status at the end. */
+  /** Passes each line of the response to `onLine`, and returns the status at its end. */
   readonly sendForLines: (request: HttpRequest, onLine: (line: string) => void) => Promise<Result<number, HttpFailure>>
-  /** Ends pending calls and frees connections. */
+  /** Aborts pending calls and closes the connections. */
   readonly close: () => Promise<void>
 }
 
 interface Attempt {
   readonly state: SendState
-  readonly touch: () => void
+  readonly restartTimeout: () => void
   readonly end: () => void
   kind: HttpFailure['kind']
-  /** Set once the attempt is to stop. */
+  /** Set once the attempt was aborted or timed out. */
   reason?: Error
-  /** Set once a connection took the request. */
+  /** Set once the request was assigned to a connection. */
   abort?: (reason: Error) => void
 }
 
 /**
- * Creates an exchanger with its own connections.
+ * Creates an exchanger with its own connection pool.
  *
  * @param options - origin and limits
  * @returns the exchanger; close it to free its connections
  */
 export function createHttpExchanger (options: HttpOptions): HttpExchanger {
-  const ends = createConnectionEnds(options.connectTimeoutMs ?? DEFAULT_CONNECT_TIMEOUT_MS)
-  const makeKept = (): Agent => new Agent({ connect: ends.connect, pipelining: 1 })
+  const connectionMonitor = createConnectionMonitor(options.connectTimeoutMs ?? DEFAULT_CONNECT_TIMEOUT_MS)
+  const createKeepAliveAgent = (): Agent => new Agent({ connect: connectionMonitor.connect, pipelining: 1 })
   const agents = new Set<Agent>()
-  let kept = makeKept()
-  agents.add(kept)
-  const fresh = new Agent({ connect: ends.connect, pipelining: 0 })
+  let keepAliveAgent = createKeepAliveAgent()
+  agents.add(keepAliveAgent)
+  const singleUseAgent = new Agent({ connect: connectionMonitor.connect, pipelining: 0 })
   const sentIds = createSentRequestIds()
   const maxBodyBytes = options.maxBodyBytes ?? DEFAULT_MAX_BODY_BYTES
 
-  // Calls under way end on the former connections, which are closed after them.
-  function renew (former: Agent): void {
-    if (former !== kept) return
-    kept = makeKept()
-    agents.add(kept)
-    former.close().then(() => agents.delete(former), () => agents.delete(former))
+  // Calls in flight finish on the previous connections, which are closed afterwards.
+  function replaceKeepAliveAgent (previous: Agent): void {
+    if (previous !== keepAliveAgent) return
+    keepAliveAgent = createKeepAliveAgent()
+    agents.add(keepAliveAgent)
+    previous.close().then(() => agents.delete(previous), () => agents.delete(previous))
   }
 
-  async function exchange<T> (request: HttpRequest, reader: AnswerReader<T>): Promise<Result<T, HttpFailure>> {
+  async function exchange<T> (request: HttpRequest, reader: ResponseReader<T>): Promise<Result<T, HttpFailure>> {
     const attempt = startAttempt(request)
-    const agent = request.freshConnection === true ? fresh : kept
+    const agent = request.freshConnection === true ? singleUseAgent : keepAliveAgent
     if (request.requestId !== undefined) sentIds.add(request.requestId)
     try {
-      await readOnce({ agent, ends, sentIds, attempt, reader }, request, toUndici(options.origin, request))
+      await dispatchOnce({ agent, connectionMonitor, sentIds, attempt, reader }, request, toDispatchOptions(options.origin, request))
       return Ok(reader.end())
     } catch (error) {
       return Err({ kind: reader.isTooLarge() ? 'too_large' : attempt.kind, reached: attempt.state.started, detail: describe(error) })
     } finally {
       attempt.end()
-      if (attempt.kind === 'timeout' && options.renewsAfterTimeout === true) renew(agent)
+      if (attempt.kind === 'timeout' && options.renewsAfterTimeout === true) replaceKeepAliveAgent(agent)
     }
   }
 
   return {
-    send: (request) => exchange(request, createAnswerReader(maxBodyBytes)),
+    send: (request) => exchange(request, createResponseReader(maxBodyBytes)),
     sendForLines: (request, onLine) => exchange(request, createLineReader(maxBodyBytes, onLine)),
     close: async () => {
-      await Promise.all([...agents, fresh].map((agent) => agent.destroy()))
+      await Promise.all([...agents, singleUseAgent].map((agent) => agent.destroy()))
     }
   }
 }
 
-interface Reading {
+/** What one exchange needs besides its request. */
+interface ExchangeContext {
   readonly agent: Agent
-  readonly ends: ConnectionEnds
+  readonly connectionMonitor: ConnectionMonitor
   readonly sentIds: SentRequestIds
   readonly attempt: Attempt
-  readonly reader: AnswerReader<unknown>
+  readonly reader: ResponseReader<unknown>
 }
 
-function toUndici (origin: string, request: HttpRequest): Dispatcher.DispatchOptions {
+function toDispatchOptions (origin: string, request: HttpRequest): Dispatcher.DispatchOptions {
   return {
     origin,
     method: request.method as Dispatcher.HttpMethod,
@@ -166,9 +167,9 @@
   }
 }
 
-// Straight on the dispatcher: a stream and its async iterator cost several
-// times as much as all the rest when each chunk carries one token.
-function readOnce ({ agent, attempt, ends, reader, sentIds }: Reading, { requestId }: HttpRequest, options: Dispatcher.DispatchOptions): Promise<void> {
+// Uses the dispatcher directly: with one token per chunk, a stream and its async iterator
+// cost several times as much as everything else.
+function dispatchOnce ({ agent, attempt, connectionMonitor, reader, sentIds }: ExchangeContext, { requestId }: HttpRequest, options: Dispatcher.DispatchOptions): Promise<void> {
   let framing: AnswerFraming = 'connection'
   return new Promise((resolve, reject) => {
     const dispatch = createSendOnce(attempt.state)((...args) => agent.dispatch(...args))
@@ -178,17 +179,17 @@
         if (attempt.reason !== undefined) controller.abort(attempt.reason)
       },
       onResponseStart: (controller, status, headers) => {
-        if (status < FIRST_FINAL_STATUS) return
-        const headerOf = (name: string): string => String(headers[name] ?? '')
-        if (requestId !== undefined && sentIds.isOfAnother(requestId, headerOf(REQUEST_ID_HEADER))) {
-          controller.abort(new Error('the answer is that of another request'))
+        if (status < MIN_FINAL_STATUS) return
+        const getHeader = (name: string): string => String(headers[name] ?? '')
+        if (requestId !== undefined && sentIds.belongsToOther(requestId, getHeader(REQUEST_ID_HEADER))) {
+          controller.abort(new Error('the response belongs to another request'))
           return
         }
         framing = framingOf(options.method, status, headers)
-        reader.onHead(status, headerOf)
+        reader.onHead(status, getHeader)
       },
       onResponseData: (controller, chunk) => {
-        attempt.touch()
+        attempt.restartTimeout()
         try {
           reader.onChunk(chunk)
         } catch (error) {
@@ -197,8 +198,8 @@
         }
       },
       onResponseEnd: () => {
-        if (framing !== 'connection' || ends.isInOrder()) resolve()
-        else reject(new Error('the connection was reset before the end of the answer'))
+        if (framing !== 'connection' || connectionMonitor.isOrderlyEnd()) resolve()
+        else reject(new Error('the connection was reset before the end of the response'))
       },
       onResponseError: (_, error) => reject(error)
     })
@@ -212,7 +213,7 @@
   const attempt: Attempt = {
     state: { started: false },
     kind: 'broken',
-    touch: () => { timer.refresh() },
+    restartTimeout: () => { timer.refresh() },
     end: () => {
       clearTimeout(timer)
       request.signal?.removeEventListener('abort', onAbort)
--- a/packages/bendfall-platform/src/BendfallPlatformHttpEnds.ts
+++ b/packages/bendfall-platform/src/BendfallPlatformHttpEnds.ts
@@ -1,7 +1,7 @@
 /**
- * Ends of answers and of connections: what tells the end of an answer, and whether a
- * connection that ends was closed in order. Of an answer that has neither a length nor
- * chunks only that tells whether it is whole, and the HTTP client does not pass it on.
+ * Framing of responses, and detection of connection resets. A response with neither a length
+ * nor chunked encoding is delimited by the close of its connection, and is complete only if
+ * that close was orderly. The HTTP client does not report this.
  *
  * @module
  */
@@ -13,37 +13,37 @@
 
 const LAST_CODING_IS_CHUNKED = /(?:^|,)\s*chunked\s*$/i
 
-/** What tells the end of an answer's body (RFC 9112, section 6.3). */
+/** How the end of a response body is determined (RFC 9112, section 6.3). `connection`: by the close. */
 export type AnswerFraming = 'length' | 'chunked' | 'connection'
 
-/** How the data of a connection ended. */
+/** How the peer ended a connection. */
 export type ConnectionEnd = 'orderly' | 'reset'
 
-/** Connections of one exchanger, and how the one that is ending right now ends. */
-export interface ConnectionEnds {
-  /** Opens the connections of the exchanger. */
+/** Opens the connections of one exchanger, and tracks how they end. */
+export interface ConnectionMonitor {
+  /** Connector for the agents of the exchanger. */
   readonly connect: buildConnector.connector
-  /** @returns whether it was closed in order; of use only while an end is being told */
-  readonly isInOrder: () => boolean
+  /** @returns whether the connection was closed in order; valid only within the events that report its end */
+  readonly isOrderlyEnd: () => boolean
 }
 
 /**
- * Makes the connector of an exchanger.
+ * Creates the connector of an exchanger.
  *
  * @param timeoutMs - longest time to open a connection
- * @returns the connector with its ends
+ * @returns the connector, with a check of the connection that is ending
  */
-export function createConnectionEnds (timeoutMs: number): ConnectionEnds {
+export function createConnectionMonitor (timeoutMs: number): ConnectionMonitor {
   const open = buildConnector({ timeout: timeoutMs })
-  let isInOrder = false
+  let isOrderlyEnd = false
 
-  // Before the client's own listeners, which end the answer within these events; each of
-  // them sets the flag anew. Of 2,000 answers that were reset 2,000 were taken for whole
-  // without it.
+  // These listeners run before those of the HTTP client, which ends the response within the
+  // same events; each event sets the flag again. Without the check, 2,000 of 2,000 responses
+  // that were reset were accepted as complete.
   function listen (socket: Socket): void {
-    socket.once('end', () => { isInOrder = connectionEndOf(socket) === 'orderly' })
-    socket.once('error', () => { isInOrder = false })
-    socket.once('close', () => { isInOrder = false })
+    socket.once('end', () => { isOrderlyEnd = connectionEndOf(socket) === 'orderly' })
+    socket.once('error', () => { isOrderlyEnd = false })
+    socket.once('close', () => { isOrderlyEnd = false })
   }
 
   return {
@@ -54,34 +54,34 @@
         callback(...result)
       })
     },
-    isInOrder: () => isInOrder
+    isOrderlyEnd: () => isOrderlyEnd
   }
 }
 
 /**
- * Tells how a connection ended, within its event `end`.
+ * Determines how a connection ended; to be called within its `end` event.
  *
- * A reset that is found by the same poll as the last bytes comes as the end of the data,
- * without an error. The kernel knows: a connection that was reset has no peer any more
- * (getpeername: ENOTCONN), one that was closed in order still has it. Without this look
- * 8 of 500 answers without a length that were reset behind their last bytes counted as
- * whole on an idle loop, 252 of 500 on one that was busy for 9 of 10 ms.
+ * A reset that is polled together with the last bytes is reported as the end of the data,
+ * without an error. The kernel still knows: a connection that was reset has no peer any more
+ * (getpeername fails with ENOTCONN), one that was closed in order has. Without this check,
+ * of close-delimited responses that were reset after their last bytes, 8 of 500 counted as
+ * complete with an idle event loop, and 252 of 500 with one busy for 9 of 10 ms.
  *
- * @param socket - the connection; a socket keeps the name of its peer once it was read, so
- * nobody may have read `remoteAddress` before
- * @returns how its data ended
+ * @param socket - connection whose `remoteAddress` was not read before, because a socket
+ * caches it
+ * @returns whether the connection was closed in order or reset
  */
 export function connectionEndOf (socket: Socket): ConnectionEnd {
   return socket.remoteAddress === undefined ? 'reset' : 'orderly'
 }
 
 /**
- * Tells what ends the body of an answer.
+ * Determines the framing of a response body.
  *
- * @param method - of the request
- * @param status - of the answer
- * @param headers - of the answer
- * @returns the framing; `length` for answers that have no body
+ * @param method - method of the request
+ * @param status - status of the response
+ * @param headers - headers of the response
+ * @returns the framing; `length` for responses without a body
  */
 export function framingOf (method: string, status: number, headers: IncomingHttpHeaders): AnswerFraming {
   if (method === 'HEAD' || NO_BODY_STATUSES.has(status)) return 'length'
--- a/packages/bendfall-platform/src/BendfallPlatformHttpInstances.ts
+++ b/packages/bendfall-platform/src/BendfallPlatformHttpInstances.ts
@@ -1,6 +1,6 @@
 /**
- * Adapter of the platform's instance list over HTTP and JSON. Readings are
- * conditional and compressed where the list offers it.
+ * Adapter of the platform's instance list over HTTP and JSON. Requests are conditional, and
+ * responses compressed, if the server supports it.
  *
  * @module
  */
@@ -28,7 +28,7 @@
   unavailable: { detail: isText }
 }
 
-/** Settings of the adapter. */
+/** Options of the adapter. */
 export interface HttpInstanceListOptions {
   /** Origin of the instance list. */
   readonly origin: string
@@ -48,20 +48,20 @@
   let last: TaggedList | undefined
 
   async function list (): Promise<InstancesOutcome> {
-    const answer = await http.send({ method: 'GET', path: '/instances', headers: headersFor(last), timeoutMs })
-    if (answer.isErr()) return { type: 'unavailable', detail: answer.error.detail }
-    if (answer.value.status === NOT_MODIFIED && last !== undefined) return last.outcome
-    const body = await readBody(answer.value)
+    const response = await http.send({ method: 'GET', path: '/instances', headers: headersFor(last), timeoutMs })
+    if (response.isErr()) return { type: 'unavailable', detail: response.error.detail }
+    if (response.value.status === NOT_MODIFIED && last !== undefined) return last.outcome
+    const body = await readBody(response.value)
     const outcome = body.andThen((bytes) => parseAnswer<InstancesOutcome>(bytes, SHAPES))
     if (outcome.isErr()) return { type: 'unavailable', detail: outcome.error }
-    last = tagList(answer.value.etag, outcome.value) ?? last
+    last = tagList(response.value.etag, outcome.value) ?? last
     return outcome.value
   }
 
   return { list, close: () => http.close() }
 }
 
-/** A list that the server can be asked about by its tag. */
+/** The last list with its entity tag, for conditional requests. */
 interface TaggedList {
   readonly etag: string
   readonly outcome: InstancesOutcome
--- a/packages/bendfall-platform/src/BendfallPlatformHttpKeyValue.ts
+++ b/packages/bendfall-platform/src/BendfallPlatformHttpKeyValue.ts
@@ -1,5 +1,6 @@
 /**
- * Adapter of the platform's key-value service over HTTP and JSON.
+ * Adapter of the platform's key-value service over HTTP and JSON. Responses are checked before
+ * use, and a malformed one counts as `unavailable`, or as `unknown` for a write.
  *
  * @module
  */
@@ -25,11 +26,11 @@
   unchanged: { storeRevision: isNumber }
 }
 
-/** Settings of the adapter. */
+/** Options of the adapter. */
 export interface HttpKeyValueOptions {
   /** Origin of the service. */
   readonly origin: string
-  /** Longest time of a call; a watch may take this and its wait. */
+  /** Timeout of a call; for a watch, its wait is added. */
   readonly timeoutMs?: number
 }
 
@@ -39,9 +40,9 @@
 }
 
 /**
- * Creates the adapter. A write or lease call that the service refuses before
- * running it (rate limit, outage, lapsed lease of a key) is `unavailable`; a
- * revoked lease reads as `lapsed`.
+ * Creates the adapter. The outcome of a write or lease call that the service rejects without
+ * executing it (rate limit, outage, lapsed lease of a key) is `unavailable`. For a revoked
+ * lease it is `lapsed`.
  *
  * @param options - origin and timeouts
  * @returns the port; close it to free its connections
@@ -50,9 +51,9 @@
   const http = createHttpExchanger({ origin: options.origin })
   const timeoutMs = options.timeoutMs ?? DEFAULT_TIMEOUT_MS
   const read = <T extends { readonly type: string }>(path: string, shapes: ShapesByType, waitMs = 0): Promise<T | Unavailable> =>
-    ask<T>(http, { method: 'GET', path, timeoutMs: timeoutMs + waitMs }, shapes)
+    sendRequest<T>(http, { method: 'GET', path, timeoutMs: timeoutMs + waitMs }, shapes)
   const lease = (path: string, body: object): Promise<LeaseOutcome> =>
-    ask<LeaseOutcome>(http, post(path, body, timeoutMs), LEASE_SHAPES)
+    sendRequest<LeaseOutcome>(http, post(path, body, timeoutMs), LEASE_SHAPES)
 
   return {
     get: (key) => read<ReadOutcome>(`/get?${new URLSearchParams({ key })}`, READ_SHAPES),
@@ -73,16 +74,16 @@
   return { method: 'POST', path, headers: JSON_HEADERS, body: JSON.stringify(body), timeoutMs }
 }
 
-async function ask<T extends { readonly type: string }> (http: HttpExchanger, request: HttpRequest, shapes: ShapesByType): Promise<T | Unavailable> {
-  const answer = await http.send(request)
-  if (answer.isErr()) return { type: 'unavailable', detail: answer.error.detail }
-  const outcome = parseAnswer<T>(answer.value.body, shapes)
+async function sendRequest<T extends { readonly type: string }> (http: HttpExchanger, request: HttpRequest, shapes: ShapesByType): Promise<T | Unavailable> {
+  const response = await http.send(request)
+  if (response.isErr()) return { type: 'unavailable', detail: response.error.detail }
+  const outcome = parseAnswer<T>(response.value.body, shapes)
   return outcome.isOk() ? outcome.value : { type: 'unavailable', detail: outcome.error }
 }
 
 async function writeOnce (http: HttpExchanger, write: CompareAndSwap, timeoutMs: number): Promise<WriteOutcome> {
-  const answer = await http.send(post('/compare-and-swap', write, timeoutMs))
-  if (answer.isErr()) return { type: answer.error.reached ? 'unknown' : 'unavailable', detail: answer.error.detail }
-  const outcome = parseAnswer<WriteOutcome>(answer.value.body, WRITE_SHAPES)
+  const response = await http.send(post('/compare-and-swap', write, timeoutMs))
+  if (response.isErr()) return { type: response.error.reached ? 'unknown' : 'unavailable', detail: response.error.detail }
+  const outcome = parseAnswer<WriteOutcome>(response.value.body, WRITE_SHAPES)
   return outcome.isOk() ? outcome.value : { type: 'unknown', detail: outcome.error }
 }
--- a/packages/bendfall-platform/src/BendfallPlatformHttpReaders.ts
+++ b/packages/bendfall-platform/src/BendfallPlatformHttpReaders.ts
@@ -1,5 +1,5 @@
 /**
- * Readers that take the answer to one HTTP request as it comes.
+ * Readers that consume the response to one HTTP request as it arrives.
  *
  * @module
  */
@@ -7,27 +7,27 @@
 
 const NEWLINE_BYTE = 10
 
-/** Takes one answer. */
-export interface AnswerReader<T> {
-  /** @param headerOf - reads a header; empty when the answer has none */
-  readonly onHead: (status: number, headerOf: (name: string) => string) => void
-  /** @throws Error when the answer is too large or a line is refused */
+/** Consumes one response. */
+export interface ResponseReader<T> {
+  /** @param getHeader - returns the value of a header; empty if the response has none */
+  readonly onHead: (status: number, getHeader: (name: string) => string) => void
+  /** @throws Error if the response is too large, or a line was rejected */
   readonly onChunk: (chunk: Buffer) => void
-  /** Gives what was read once the answer is whole. */
+  /** Returns the result; called once the response is complete. */
   readonly end: () => T
-  /** True once a limit of size was passed. */
+  /** Returns whether the size limit was exceeded. */
   readonly isTooLarge: () => boolean
 }
 
 /**
- * Makes a reader of a whole answer.
+ * Creates a reader that buffers a complete response.
  *
- * @param maxBodyBytes - longest body
+ * @param maxBodyBytes - size limit of the body
  * @returns the reader
  */
-export function createAnswerReader (maxBodyBytes: number): AnswerReader<HttpAnswer> {
+export function createResponseReader (maxBodyBytes: number): ResponseReader<HttpAnswer> {
   const chunks: Buffer[] = []
-  const size = createSizeCheck(maxBodyBytes)
+  const sizeLimit = createSizeLimit(maxBodyBytes)
   let bodyBytes = 0
   let head: Omit<HttpAnswer, 'body'> = { status: 0, contentType: '', contentEncoding: '', etag: '', headerOf: () => '' }
   return {
@@ -36,40 +36,40 @@
     },
     onChunk: (chunk) => {
       bodyBytes += chunk.length
-      size.check(bodyBytes)
+      sizeLimit.check(bodyBytes)
       chunks.push(chunk)
     },
     end: () => ({ ...head, body: Buffer.concat(chunks) }),
-    isTooLarge: size.isPassed
+    isTooLarge: sizeLimit.isExceeded
   }
 }
 
 /**
- * Makes a reader that hands over each line of an answer.
+ * Creates a reader that passes on each line of a response.
  *
- * @param maxLineBytes - longest line
- * @param onLine - takes each line; may throw to refuse it
- * @returns the reader, which gives the status
+ * @param maxLineBytes - size limit of one line
+ * @param onLine - receives each line; may throw to reject it and fail the exchange
+ * @returns the reader, whose result is the status
  */
-export function createLineReader (maxLineBytes: number, onLine: (line: string) => void): AnswerReader<number> {
-  const size = createSizeCheck(maxLineBytes)
-  let rest: Buffer = Buffer.alloc(0)
+export function createLineReader (maxLineBytes: number, onLine: (line: string) => void): ResponseReader<number> {
+  const sizeLimit = createSizeLimit(maxLineBytes)
+  let remainder: Buffer = Buffer.alloc(0)
   let head = 0
   return {
     onHead: (status) => { head = status },
     onChunk: (chunk) => {
-      rest = takeLines(rest.length === 0 ? chunk : Buffer.concat([rest, chunk]), onLine)
-      size.check(rest.length)
+      remainder = emitLines(remainder.length === 0 ? chunk : Buffer.concat([remainder, chunk]), onLine)
+      sizeLimit.check(remainder.length)
     },
     end: () => {
-      if (rest.length > 0) onLine(rest.toString('utf8'))
+      if (remainder.length > 0) onLine(remainder.toString('utf8'))
       return head
     },
-    isTooLarge: size.isPassed
+    isTooLarge: sizeLimit.isExceeded
   }
 }
 
-function takeLines (bytes: Buffer, onLine: (line: string) => void): Buffer {
+function emitLines (bytes: Buffer, onLine: (line: string) => void): Buffer {
   let start = 0
   for (let end = bytes.indexOf(NEWLINE_BYTE); end !== -1; end = bytes.indexOf(NEWLINE_BYTE, start)) {
     onLine(bytes.toString('utf8', start, end))
@@ -78,13 +78,13 @@
   return bytes.subarray(start)
 }
 
-function createSizeCheck (maxBytes: number): { readonly check: (bytes: number) => void, readonly isPassed: () => boolean } {
-  let passed = false
+function createSizeLimit (maxBytes: number): { readonly check: (bytes: number) => void, readonly isExceeded: () => boolean } {
+  let exceeded = false
   return {
     check: (bytes) => {
-      passed = bytes > maxBytes
-      if (passed) throw new Error(`answer is longer than ${maxBytes} bytes`)
+      exceeded = bytes > maxBytes
+      if (exceeded) throw new Error(`response exceeds ${maxBytes} bytes`)
     },
-    isPassed: () => passed
+    isExceeded: () => exceeded
   }
 }
--- a/packages/bendfall-platform/src/BendfallPlatformHttpRequestIds.ts
+++ b/packages/bendfall-platform/src/BendfallPlatformHttpRequestIds.ts
@@ -1,27 +1,28 @@
 /**
- * Tells an answer to an earlier request from one of a server that names answers its own way.
+ * Detects responses that belong to an earlier request, by comparing their id with those of
+ * recent requests. A server may also use response ids of its own, which are accepted.
  *
  * @module
  */
 
-/** Ids that are kept. A second answer is late by seconds; a server gets some hundred calls a second. */
-const MOST_IDS = 4_096
+/** Number of ids kept: duplicate responses are seconds late, and a server gets a few hundred calls a second. */
+const MAX_IDS = 4_096
 
-/** Ids of the requests that went to one server lately. */
+/** Ids of the requests recently sent to one server. */
 export interface SentRequestIds {
   readonly add: (requestId: string) => void
   /**
-   * @param requestId - of the call
-   * @param named - id that its answer names; empty when it names none
-   * @returns whether the answer is that of another request
+   * @param requestId - id of the call
+   * @param responseId - id in its response; empty if there is none
+   * @returns whether the response belongs to another recent request
    */
-  readonly isOfAnother: (requestId: string, named: string) => boolean
+  readonly belongsToOther: (requestId: string, responseId: string) => boolean
 }
 
 /**
- * Makes the ids of a server that got none yet.
+ * Creates the id set for a server to which nothing was sent yet.
  *
- * @returns the ids
+ * @returns an empty set, limited to the most recent ids
  */
 export function createSentRequestIds (): SentRequestIds {
   const sent = new Set<string>()
@@ -30,9 +31,9 @@
       sent.delete(requestId)
       sent.add(requestId)
       const [oldest] = sent
-      if (sent.size > MOST_IDS && oldest !== undefined) sent.delete(oldest)
+      if (sent.size > MAX_IDS && oldest !== undefined) sent.delete(oldest)
     },
-    // A server may well put ids of its own into its answers.
-    isOfAnother: (requestId, named) => named !== requestId && sent.has(named)
+    // An unknown id is not an error: a server may put its own ids into responses.
+    belongsToOther: (requestId, responseId) => responseId !== requestId && sent.has(responseId)
   }
 }
--- a/packages/bendfall-platform/src/BendfallPlatformHttpSendOnce.ts
+++ b/packages/bendfall-platform/src/BendfallPlatformHttpSendOnce.ts
@@ -1,6 +1,6 @@
 /**
- * Interceptor of undici that sees when a request is handed to a connection and
- * forbids that the same request is handed to a second one.
+ * undici interceptor that records when a request is assigned to a connection, and prevents
+ * undici from sending it again on a second one.
  *
  * @module
  */
@@ -12,9 +12,9 @@
 }
 
 /**
- * Builds the interceptor for one request.
+ * Creates the interceptor for one request.
  *
- * @param state - set to started before the first byte may be written
+ * @param state - `started` is set before the first byte may be written
  * @returns an interceptor for `Dispatcher.compose`
  */
 export function createSendOnce (state: SendState): Dispatcher.DispatcherComposeInterceptor {
@@ -28,8 +28,8 @@
       handler.onRequestStart?.(controller, context)
       if (controller.aborted) return
       state.started = true
-      // undici hands a request to a new connection when the old one closed in a
-      // way that it holds harmless; a call that may not be repeated must not.
+      // undici resends a request on a new connection if the old one closed in a way that it
+      // considers harmless. That is not acceptable for calls that must not be repeated.
       if (sentBefore) controller.abort(new Error('request would be sent twice'))
     },
     onRequestUpgrade: (...args) => handler.onRequestUpgrade?.(...args),
--- a/packages/bendfall-platform/src/BendfallPlatformInstances.ts
+++ b/packages/bendfall-platform/src/BendfallPlatformInstances.ts
@@ -1,20 +1,20 @@
 /**
- * Port of the platform's lagging list of instances.
+ * Port of the platform's list of instances, which lags behind their actual state.
  *
  * @module
  */
 import type { InstanceRecord } from 'bendfall-core'
 
-/** Outcome of reading the instance list. */
+/** Result of a read of the instance list. */
 export type InstancesOutcome =
   | { readonly type: 'listed', readonly instances: readonly InstanceRecord[] }
   | { readonly type: 'unavailable', readonly detail: string }
 
-/** The instance list in the terms of the platform. Never throws. */
+/** Access to the platform's instance list. Never throws. */
 export interface InstanceListPort {
   /**
-   * Reads the list. While nothing changed the outcome may hold the same array
-   * as before, so that a caller can tell without comparing records.
+   * Reads the list. If nothing changed, the outcome may hold the same array as before, so that
+   * callers can detect this without comparing records.
    */
   readonly list: () => Promise<InstancesOutcome>
   readonly close: () => Promise<void>
--- a/packages/bendfall-platform/src/BendfallPlatformKeyValue.ts
+++ b/packages/bendfall-platform/src/BendfallPlatformKeyValue.ts
@@ -1,6 +1,6 @@
 /**
- * Port of the platform's key-value service. Every outcome is typed; a write
- * whose answer was lost is `unknown` and must be resolved by reading back.
+ * Port of the platform's key-value service. Every outcome is typed; the outcome of a write
+ * whose response was lost is `unknown` and must be resolved by reading the key.
  *
  * @module
  */
@@ -11,9 +11,9 @@
   readonly value: string
   /** Revision of the whole store at the last write of the key. */
   readonly revision: number
-  /** Revision of the whole store at the key's creation; absent where the service does not tell it. */
+  /** Revision of the whole store at the key's creation; absent if the service does not report it. */
   readonly createdRevision?: number
-  /** Lease the key is bound to; empty when it lasts. */
+  /** Lease to which the key is bound; empty for a permanent key. */
   readonly leaseId: string
 }
 
@@ -45,37 +45,37 @@
 export type WatchOutcome =
   | { readonly type: 'changed', readonly entries: readonly KeyValueEntry[], readonly deletedKeys: readonly string[], readonly storeRevision: number }
   | { readonly type: 'unchanged', readonly storeRevision: number }
-  /** The service no longer has the history since the revision; read all again. */
+  /** The service no longer has the changes since the revision; the keys must be listed again. */
   | { readonly type: 'history_lost' }
   | { readonly type: 'unavailable', readonly detail: string }
 
-/** A write under the condition that the key stands at a revision. */
+/** A write that applies only if the key has the expected revision. */
 export interface CompareAndSwap {
   readonly key: string
-  /** Expected revision of the key; 0 when the key must not exist. */
+  /** Expected revision of the key; 0 if the key must not exist. */
   readonly expectedRevision: number
   /** New value; `null` deletes the key. */
   readonly value: string | null
-  /** Lease to bind the key to; empty for a lasting key. */
+  /** Lease to which the key is to be bound; empty for a permanent key. */
   readonly leaseId: string
 }
 
-/** What a reader asks for. */
+/** Options of a read. */
 export interface ReadOptions {
-  /** The value may be some seconds old, where that makes the read cheaper for the service. */
+  /** Allows a value that is some seconds old, if that makes the read cheaper for the service. */
   readonly mayBeOld?: boolean
 }
 
 /**
- * The service came back from an older copy: what was written since the copy is gone, leases
- * too, and its owners write it again. Revisions of the new era are above all before.
+ * Reports that the service was restored from a backup. Writes and leases since the backup are
+ * lost, and their owners write them again. Revisions of the new era are above all previous ones.
  */
 export interface EraChange {
   readonly era: number
   readonly formerEra: number
 }
 
-/** The key-value service in the terms of the platform. Never throws. */
+/** Access to the platform's key-value service. Never throws. */
 export interface KeyValuePort {
   readonly get: (key: string, options?: ReadOptions) => Promise<ReadOutcome>
   readonly list: (prefix: string) => Promise<ListOutcome>
@@ -84,19 +84,19 @@
   readonly renewLease: (leaseId: string) => Promise<LeaseOutcome>
   readonly revokeLease: (leaseId: string) => Promise<LeaseOutcome>
   /**
-   * Waits up to `waitMs` for a change after `sinceRevision`; an answer that is later than
-   * that by `slackMs` is given up, since its connection may have gone silent.
+   * Waits up to `waitMs` for a change after `sinceRevision`. If there is no response another
+   * `slackMs` later, the call is abandoned, since its connection may have stopped responding.
    */
   readonly watch: (prefix: string, sinceRevision: number, waitMs: number, slackMs?: number) => Promise<WatchOutcome>
   /**
-   * Tells of each new era, before the answer that told it is handed out; absent where the
-   * service has none. What is read of an earlier era is handed out no more.
+   * Subscribes to new eras; absent if the service has none. Listeners run before the response
+   * that reported the era is returned, and no data of an earlier era is returned afterwards.
    *
-   * @returns teardown
+   * @returns function that removes the listener
    */
   readonly onEra?: (listener: (change: EraChange) => void) => () => void
-  /** @returns the highest era that an answer told; 0 while none did. Absent where the service has none. */
+  /** @returns the highest era that a response reported; 0 before the first. Absent if the service has none. */
   readonly era?: () => number
-  /** Ends pending calls and frees connections. */
+  /** Aborts pending calls and closes the connections. */
   readonly close: () => Promise<void>
 }
--- a/packages/bendfall-platform/src/__tests__/unit/BendfallPlatformAnswer.test.ts
+++ b/packages/bendfall-platform/src/__tests__/unit/BendfallPlatformAnswer.test.ts
@@ -6,7 +6,7 @@
 const SHAPES = { listed: { items: isListOf(isObjectOf({ name: isText, size: isNumber })) }, empty: {} }
 const read = (text: string): boolean => parseAnswer(text, SHAPES).isOk()
 
-test('an answer is taken when its type is known and its fields are there', () => {
+test('a response is accepted only if its type is known and its fields are valid', () => {
   assert.is(read('{"type":"empty"}'), true)
   assert.is(read('{"type":"listed","items":[{"name":"a","size":1}]}'), true)
   assert.is(read('{"type":"listed","items":[{"name":"a","size":"1"}]}'), false)
@@ -16,7 +16,7 @@
   assert.is(read(''), false)
 })
 
-test('no answer makes the reader throw', () => {
+test('no response makes the parser throw', () => {
   fc.assert(fc.property(fc.oneof(fc.string(), fc.json()), (text) => typeof read(text) === 'boolean'))
 })
 
--- a/packages/bendfall-platform/src/__tests__/unit/BendfallPlatformHttp.test.ts
+++ b/packages/bendfall-platform/src/__tests__/unit/BendfallPlatformHttp.test.ts
@@ -10,7 +10,7 @@
 const OK_ANSWER = 'HTTP/1.1 200 OK\r\ncontent-length: 2\r\nconnection: keep-alive\r\n\r\nok'
 const GET = { method: 'GET', path: '/', timeoutMs: 5_000 }
 
-/** undici gives a connection back to its pool a turn after the answer's end. */
+/** undici returns a connection to its pool one event loop turn after the end of the response. */
 const becomesIdle = (): Promise<void> => new Promise((resolve) => setImmediate(resolve))
 
 interface Peer {
@@ -20,8 +20,8 @@
   readonly sockets: readonly Socket[]
 }
 
-/** Runs against a bare TCP server that handles the n-th request as told. */
-async function withPeer (onRequest: (socket: Socket, place: number) => void, run: (peer: Peer) => Promise<void>, options: Partial<HttpOptions> = {}): Promise<void> {
+/** Runs against a bare TCP server whose handler receives the number of each request. */
+async function withPeer (onRequest: (socket: Socket, requestNumber: number) => void, run: (peer: Peer) => Promise<void>, options: Partial<HttpOptions> = {}): Promise<void> {
   const sockets: Socket[] = []
   let requests = 0
   const server = createServer((socket) => {
@@ -44,25 +44,25 @@
 }
 
 for (const method of ['GET', 'PUT', 'POST']) {
-  test(`a ${method} on a kept connection that breaks is not sent again`, () => withPeer((socket, place) => {
-    if (place === 1) socket.write(OK_ANSWER)
+  test(`a ${method} is not sent again if its kept connection breaks`, () => withPeer((socket, requestNumber) => {
+    if (requestNumber === 1) socket.write(OK_ANSWER)
     else socket.destroy()
   }, async ({ http, requests, sockets }) => {
     assert.is((await http.send(GET)).isOk(), true)
     await becomesIdle()
-    const answer = await http.send({ ...GET, method })
-    assert.is(answer.isErr() && answer.error.reached, true)
+    const response = await http.send({ ...GET, method })
+    assert.is(response.isErr() && response.error.reached, true)
     assert.equal([requests(), sockets.length], [2, 1])
   }))
 }
 
-test('a connection reset before the answer is not tried again', () => withPeer((socket) => socket.resetAndDestroy(), async ({ http, requests }) => {
-  const answer = await http.send({ ...GET, method: 'POST', body: 'x' })
-  assert.is(answer.isErr() && answer.error.reached, true)
+test('a request whose connection is reset before the response is not retried', () => withPeer((socket) => socket.resetAndDestroy(), async ({ http, requests }) => {
+  const response = await http.send({ ...GET, method: 'POST', body: 'x' })
+  assert.is(response.isErr() && response.error.reached, true)
   assert.is(requests(), 1)
 }))
 
-test('a kept connection that the server closed while idle is replaced', () => withPeer((socket) => socket.write(OK_ANSWER), async ({ http, sockets }) => {
+test('a kept connection that the server closes while idle is replaced', () => withPeer((socket) => socket.write(OK_ANSWER), async ({ http, sockets }) => {
   await http.send(GET)
   await becomesIdle()
   const [first] = sockets as [Socket]
@@ -79,14 +79,14 @@
   assert.is(sockets.length, 2)
 }))
 
-test('a silent peer ends in a timeout', () => withPeer(() => {}, async ({ http }) => {
-  const answer = await http.send({ ...GET, timeoutMs: 30 })
-  assert.is(answer.isErr() && answer.error.kind, 'timeout')
+test('a call to a server that does not respond times out', () => withPeer(() => {}, async ({ http }) => {
+  const response = await http.send({ ...GET, timeoutMs: 30 })
+  assert.is(response.isErr() && response.error.kind, 'timeout')
 }))
 
-test('after a call without an answer no kept connection is used again', () => withPeer((socket, place) => {
-  // Two connections are kept; then the third request gets no answer.
-  if (place !== 3) setTimeout(() => socket.write(OK_ANSWER), 20)
+test('after a timeout, no kept connection is used again', () => withPeer((socket, requestNumber) => {
+  // Two connections are kept; the third request gets no response.
+  if (requestNumber !== 3) setTimeout(() => socket.write(OK_ANSWER), 20)
 }, async ({ http, sockets }) => {
   await Promise.all([http.send(GET), http.send(GET)])
   await becomesIdle()
@@ -98,7 +98,7 @@
   assert.ok(sockets.length > kept.length)
 }, { renewsAfterTimeout: true }))
 
-test('lines are handed over whole, however they are cut', () => withPeer((socket) => {
+test('lines are passed on whole, however they are split into chunks', () => withPeer((socket) => {
   socket.write('HTTP/1.1 200 OK\r\ncontent-length: 8\r\n\r\na\u00e9')
   setImmediate(() => socket.write('b\nc\nd'))
 }, async ({ http }) => {
@@ -108,7 +108,7 @@
   assert.equal(lines, ['a\u00e9b', 'c', 'd'])
 }))
 
-test('a stream that falls silent ends in a timeout and keeps what came', () => withPeer((socket) => {
+test('a stream that stalls times out, and its complete lines were passed on', () => withPeer((socket) => {
   socket.write('HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\na\nb')
 }, async ({ http }) => {
   const lines: string[] = []
@@ -117,7 +117,7 @@
   assert.equal(lines, ['a'])
 }))
 
-test('a request that is handed over a second time is aborted', () => {
+test('a request that is assigned to a second connection is aborted', () => {
   const state = { started: false }
   const aborts: Error[] = []
   const controller = { aborted: false, abort: (error: Error) => aborts.push(error) }
--- a/packages/bendfall-platform/src/__tests__/unit/BendfallPlatformHttpCut.test.ts
+++ b/packages/bendfall-platform/src/__tests__/unit/BendfallPlatformHttpCut.test.ts
@@ -1,6 +1,6 @@
-// An answer without a length may be ended in order within its body: nothing of the connection
-// tells. What protects plans, configurations and instances then is that a JSON object, and a
-// gzip of one, is no longer one when its end is missing.
+// Guards against truncated close-delimited responses whose connection was closed in order,
+// which the connection does not reveal. Plans, configurations and instance lists are protected
+// because a JSON object, or a gzip of one, is invalid if its end is missing.
 import { once } from 'node:events'
 import { createServer } from 'node:net'
 import type { AddressInfo } from 'node:net'
@@ -42,7 +42,7 @@
   return Buffer.from(JSON.stringify(value))
 }
 
-async function answeredWith (headers: string, body: Buffer, call: Call): Promise<string> {
+async function callWithResponse (headers: string, body: Buffer, call: Call): Promise<string> {
   const server = createServer((socket) => {
     socket.on('error', () => {})
     socket.once('data', () => socket.end(Buffer.concat([Buffer.from(`HTTP/1.1 200 OK\r\n${headers}connection: close\r\n\r\n`), body])))
@@ -56,11 +56,11 @@
 }
 
 for (const [what, body, headers, call, expected] of CASES) {
-  test(`${what} that ends at any byte before its last is not believed`, async () => {
+  test(`${what} that is truncated at any byte is rejected`, async () => {
     for (let bytes = 0; bytes < body.length; bytes += 1) {
-      assert.is(await answeredWith(headers, body.subarray(0, bytes), call), expected, `${bytes} bytes`)
+      assert.is(await callWithResponse(headers, body.subarray(0, bytes), call), expected, `${bytes} bytes`)
     }
-    assert.not.equal(await answeredWith(headers, body, call), expected)
+    assert.not.equal(await callWithResponse(headers, body, call), expected)
   })
 }
 
