--- a/packages/bendfall-upstream/src/BendfallUpstreamEngine.ts
+++ b/packages/bendfall-upstream/src/BendfallUpstreamEngine.ts
@@ -1,23 +1,23 @@
 /**
- * Port of a model engine, met by the sidecar beside it.
+ * Port of the model engine that runs next to the sidecar.
  *
  * @module
  */
 import type { EngineOrder, EngineReport } from 'bendfall-core'
 
-/** Names an attempt at an engine. */
+/** Identifies one attempt of a request at the engine. */
 export interface AttemptRef {
   readonly requestId: string
   readonly attempt: number
 }
 
-/** What a prefill needs. */
+/** Parameters of a prefill. */
 export interface EnginePrefill extends AttemptRef {
   readonly model: string
   readonly prompt: string
   readonly promptTokens: number
   readonly prefixHashes: readonly string[]
-  /** Higher goes first. */
+  /** Attempts with a higher priority run first. */
   readonly priority: number
 }
 
@@ -26,19 +26,19 @@
   | { readonly type: 'done', readonly handle: string, readonly exportUrl: string, readonly kvBytes: number, readonly cachedTokens: number, readonly evictsInMs: number }
   | { readonly type: 'failed', readonly detail: string }
 
-/** What an import of a KV cache needs. */
+/** Parameters of the import of a KV cache. */
 export interface EngineImport extends AttemptRef {
   readonly handle: string
   readonly exportUrl: string
   readonly kvBytes: number
 }
 
-/** Outcome of an import. `kvLost`: the source no longer holds the cache. */
+/** Outcome of an import. `kvLost`: the source no longer holds the KV cache. */
 export type EngineImportOutcome =
   | { readonly type: 'done' }
   | { readonly type: 'failed', readonly kvLost: boolean, readonly detail: string }
 
-/** What a decode needs; the KV cache must have been imported. */
+/** Parameters of a decode, whose KV cache must have been imported before. */
 export interface EngineDecode extends AttemptRef {
   readonly model: string
   readonly prompt: string
@@ -52,21 +52,21 @@
   | { readonly type: 'finished', readonly tokenCount: number }
   | { readonly type: 'failed', readonly detail: string }
 
-/** Outcome of an order. `stale`: the engine refused an old fencing token. */
+/** Outcome of an order. `stale`: the engine rejected an outdated fencing token. */
 export type EngineOrderOutcome =
   | { readonly type: 'done' }
   | { readonly type: 'stale' }
   | { readonly type: 'failed', readonly detail: string, readonly retryAfterMs: number }
 
-/** A model engine. Never throws; aborting a signal cancels at the engine. */
+/** Access to a model engine. Never throws; aborting a signal also cancels the attempt at the engine. */
 export interface EnginePort {
-  readonly prefill: (ask: EnginePrefill, signal: AbortSignal) => Promise<EnginePrefillOutcome>
-  readonly importKv: (ask: EngineImport, onProgress: (transferredBytes: number) => void, signal: AbortSignal) => Promise<EngineImportOutcome>
-  /** Calls `onTokens` with the index of the first token in the whole output. */
-  readonly decode: (ask: EngineDecode, onTokens: (index: number, tokens: readonly string[]) => void, signal: AbortSignal) => Promise<EngineDecodeOutcome>
-  /** Frees all an attempt holds. Idempotent. True when the engine confirmed. */
+  readonly prefill: (parameters: EnginePrefill, signal: AbortSignal) => Promise<EnginePrefillOutcome>
+  readonly importKv: (parameters: EngineImport, onProgress: (transferredBytes: number) => void, signal: AbortSignal) => Promise<EngineImportOutcome>
+  /** Calls `onTokens` with each batch of tokens and the index of its first token in the whole output. */
+  readonly decode: (parameters: EngineDecode, onTokens: (index: number, tokens: readonly string[]) => void, signal: AbortSignal) => Promise<EngineDecodeOutcome>
+  /** Frees everything that an attempt holds. Idempotent. Returns true if the engine confirmed. */
   readonly cancel: (ref: AttemptRef) => Promise<boolean>
-  /** Cancels everything the engine holds; used after a sidecar's restart. */
+  /** Cancels all attempts at the engine; used after the sidecar restarted. */
   readonly cancelAll: () => Promise<boolean>
   readonly report: () => Promise<EngineReport | undefined>
   readonly order: (fencingToken: number, order: EngineOrder) => Promise<EngineOrderOutcome>
--- a/packages/bendfall-upstream/src/BendfallUpstreamHttpEngine.ts
+++ b/packages/bendfall-upstream/src/BendfallUpstreamHttpEngine.ts
@@ -1,6 +1,6 @@
 /**
- * Adapter of a model engine over HTTP: JSON answers, and lines of JSON for
- * imports and decodes.
+ * Adapter of a model engine over HTTP, with JSON responses, and streams of newline-delimited
+ * JSON for imports and decodes.
  *
  * @module
  */
@@ -40,23 +40,23 @@
 type ImportLine = EngineImportOutcome | { readonly type: 'progress', readonly transferredBytes: number }
 type DecodeLine = EngineDecodeOutcome | { readonly type: 'tokens', readonly index: number, readonly tokens: readonly string[] }
 
-/** Settings of the adapter. */
+/** Options of the adapter. */
 export interface HttpEngineOptions {
-  /** Origin of the engine beside the sidecar. */
+  /** Origin of the engine next to the sidecar. */
   readonly origin: string
-  /** Longest time of cancels and reports. */
+  /** Timeout of cancels and reports. */
   readonly controlTimeoutMs?: number
-  /** Longest time of a prefill, with its wait in the engine's queue. */
+  /** Timeout of a prefill, including its wait in the engine's queue. */
   readonly prefillTimeoutMs?: number
-  /** Longest time of an order, with the load of weights. */
+  /** Timeout of an order, including the time to load weights. */
   readonly orderTimeoutMs?: number
-  /** Longest silence of an import or decode. */
+  /** Longest time between two chunks of an import or decode. */
   readonly streamIdleMs?: number
 }
 
 /**
- * Creates the adapter. An aborted prefill, import or decode sends one cancel;
- * who needs the engine's word calls `cancel` until it is confirmed.
+ * Creates the adapter. Aborting a prefill, import or decode sends one cancel, without
+ * retries; callers that need confirmation repeat `cancel` until it returns true.
  *
  * @param options - origin and timeouts
  * @returns the port; close it to free its connections
@@ -69,25 +69,25 @@
   const streamIdleMs = options.streamIdleMs ?? DEFAULT_STREAM_IDLE_MS
 
   const confirm = async (path: string, body: object): Promise<boolean> =>
-    await ask(http, post(path, body, controlTimeoutMs), CANCEL_SHAPES, () => undefined) !== undefined
+    await sendRequest(http, post(path, body, controlTimeoutMs), CANCEL_SHAPES, () => undefined) !== undefined
   const cancel = ({ requestId, attempt }: AttemptRef): Promise<boolean> => confirm('/cancel', { requestId, attempt })
   const cancelIfAborted = (failure: HttpFailure, ref: AttemptRef): void => {
     if (failure.kind === 'aborted' && failure.reached) cancel(ref)
   }
 
   return {
-    prefill: (prefill, signal) => ask<EnginePrefillOutcome>(http, post('/prefill', prefill, prefillTimeoutMs, signal), PREFILL_SHAPES, (failure) => {
+    prefill: (prefill, signal) => sendRequest<EnginePrefillOutcome>(http, post('/prefill', prefill, prefillTimeoutMs, signal), PREFILL_SHAPES, (failure) => {
       cancelIfAborted(failure, prefill)
       return { type: 'failed', detail: failure.detail }
     }),
-    importKv: (transfer, onProgress, signal) => askForLines<ImportLine, EngineImportOutcome>(http, post('/imports', transfer, streamIdleMs, signal), IMPORT_SHAPES, {
+    importKv: (transfer, onProgress, signal) => streamLines<ImportLine, EngineImportOutcome>(http, post('/imports', transfer, streamIdleMs, signal), IMPORT_SHAPES, {
       onLine: (line) => line.type === 'progress' ? onProgress(line.transferredBytes) : line,
       onFailure: (failure) => {
         cancelIfAborted(failure, transfer)
         return { type: 'failed', kvLost: false, detail: failure.detail }
       }
     }),
-    decode: (decode, onTokens, signal) => askForLines<DecodeLine, EngineDecodeOutcome>(http, post('/decode', decode, streamIdleMs, signal), DECODE_SHAPES, {
+    decode: (decode, onTokens, signal) => streamLines<DecodeLine, EngineDecodeOutcome>(http, post('/decode', decode, streamIdleMs, signal), DECODE_SHAPES, {
       onLine: (line) => line.type === 'tokens' ? onTokens(line.index, line.tokens) : line,
       onFailure: (failure) => {
         cancelIfAborted(failure, decode)
@@ -96,8 +96,8 @@
     }),
     cancel,
     cancelAll: () => confirm('/cancel-all', {}),
-    report: () => ask<EngineReport | undefined>(http, { method: 'GET', path: '/report', timeoutMs: controlTimeoutMs }, REPORT_SHAPES, () => undefined),
-    order: (fencingToken, order) => ask<EngineOrderOutcome>(http, post('/orders', { fencingToken, order }, orderTimeoutMs), ORDER_SHAPES, (failure) =>
+    report: () => sendRequest<EngineReport | undefined>(http, { method: 'GET', path: '/report', timeoutMs: controlTimeoutMs }, REPORT_SHAPES, () => undefined),
+    order: (fencingToken, order) => sendRequest<EngineOrderOutcome>(http, post('/orders', { fencingToken, order }, orderTimeoutMs), ORDER_SHAPES, (failure) =>
       ({ type: 'failed', detail: failure.detail, retryAfterMs: ORDER_RETRY_AFTER_MS })),
     close: () => http.close()
   }
@@ -107,24 +107,24 @@
   return { method: 'POST', path, headers: JSON_HEADERS, body: JSON.stringify(body), timeoutMs, ...(signal === undefined ? {} : { signal }) }
 }
 
-function malformed (detail: string): HttpFailure {
+function malformedResponse (detail: string): HttpFailure {
   return { kind: 'broken', reached: true, detail }
 }
 
-async function ask<T> (http: HttpExchanger, request: HttpRequest, shapes: ShapesByType, onFailure: (failure: HttpFailure) => T): Promise<T> {
-  const answer = await http.send(request)
-  if (answer.isErr()) return onFailure(answer.error)
-  const outcome = parseAnswer<T & { readonly type: string }>(answer.value.body, shapes)
-  return outcome.isOk() ? outcome.value : onFailure(malformed(`status ${answer.value.status}, ${outcome.error}`))
+async function sendRequest<T> (http: HttpExchanger, request: HttpRequest, shapes: ShapesByType, onFailure: (failure: HttpFailure) => T): Promise<T> {
+  const response = await http.send(request)
+  if (response.isErr()) return onFailure(response.error)
+  const outcome = parseAnswer<T & { readonly type: string }>(response.value.body, shapes)
+  return outcome.isOk() ? outcome.value : onFailure(malformedResponse(`status ${response.value.status}, ${outcome.error}`))
 }
 
 interface LineHandlers<Line, T> {
-  /** Gives the outcome when the line is the last one. */
+  /** Returns the outcome if the line is the last one. */
   readonly onLine: (line: Line) => T | void
   readonly onFailure: (failure: HttpFailure) => T
 }
 
-async function askForLines<Line extends { readonly type: string }, T> (http: HttpExchanger, request: HttpRequest, shapes: ShapesByType, handlers: LineHandlers<Line, T>): Promise<T> {
+async function streamLines<Line extends { readonly type: string }, T> (http: HttpExchanger, request: HttpRequest, shapes: ShapesByType, handlers: LineHandlers<Line, T>): Promise<T> {
   let last: T | undefined
   const end = await http.sendForLines(request, (text) => {
     const line = parseAnswer<Line>(text, shapes)
@@ -132,5 +132,5 @@
     last = handlers.onLine(line.value) ?? last
   })
   if (last !== undefined) return last
-  return handlers.onFailure(end.isErr() ? end.error : malformed('stream ended without an outcome'))
+  return handlers.onFailure(end.isErr() ? end.error : malformedResponse('stream ended without an outcome'))
 }
--- a/packages/bendfall-upstream/src/BendfallUpstreamHttpService.ts
+++ b/packages/bendfall-upstream/src/BendfallUpstreamHttpService.ts
@@ -9,18 +9,18 @@
 
 const SAFE_METHODS: ReadonlySet<string> = new Set(['GET', 'HEAD', 'OPTIONS'])
 
-/** Settings of the adapter. */
+/** Options of the adapter. */
 export interface HttpServiceOptions {
-  /** Origin of the service beside the sidecar. */
+  /** Origin of the service next to the sidecar. */
   readonly origin: string
-  /** Longest answer body that is taken. */
+  /** Size limit of a response body. */
   readonly maxBodyBytes?: number
 }
 
 /**
- * Creates the adapter. Calls of unsafe methods use a connection of their own:
- * a kept one may turn out closed after bytes were written, and the call would
- * be of unknown outcome for no need.
+ * Creates the adapter. Calls with unsafe methods use a new connection each: a kept one may
+ * turn out to be closed after bytes were written, which would needlessly make the outcome of
+ * the call unknown.
  *
  * @param options - origin and limits
  * @returns the port; close it to free its connections
@@ -28,10 +28,10 @@
 export function createHttpService (options: HttpServiceOptions): ServicePort {
   const http = createHttpExchanger(options)
 
-  async function call (ask: ServiceCall, signal: AbortSignal): Promise<ServiceCallOutcome> {
-    const answer = await http.send(toRequest(ask, signal))
-    if (answer.isOk()) return { type: 'answered', ...answer.value }
-    return { type: 'failed', reached: answer.error.reached, detail: answer.error.detail }
+  async function call (serviceCall: ServiceCall, signal: AbortSignal): Promise<ServiceCallOutcome> {
+    const response = await http.send(toRequest(serviceCall, signal))
+    if (response.isOk()) return { type: 'answered', ...response.value }
+    return { type: 'failed', reached: response.error.reached, detail: response.error.detail }
   }
 
   return { call, close: () => http.close() }
--- a/packages/bendfall-upstream/src/BendfallUpstreamService.ts
+++ b/packages/bendfall-upstream/src/BendfallUpstreamService.ts
@@ -1,10 +1,10 @@
 /**
- * Port of a plain service, met by the sidecar beside it.
+ * Port of the plain service that runs next to the sidecar.
  *
  * @module
  */
 
-/** A call as the caller made it. */
+/** A call as received from the caller. */
 export interface ServiceCall {
   readonly requestId: string
   readonly method: string
@@ -20,7 +20,7 @@
   | { readonly type: 'answered', readonly status: number, readonly contentType: string, readonly body: Uint8Array }
   | { readonly type: 'failed', readonly reached: boolean, readonly detail: string }
 
-/** A plain service. Never throws and never sends a call twice. */
+/** Access to a plain service. Never throws, and never sends a call twice. */
 export interface ServicePort {
   readonly call: (call: ServiceCall, signal: AbortSignal) => Promise<ServiceCallOutcome>
   readonly close: () => Promise<void>
--- a/packages/bendfall-upstream/src/__tests__/unit/BendfallUpstreamHttpService.test.ts
+++ b/packages/bendfall-upstream/src/__tests__/unit/BendfallUpstreamHttpService.test.ts
@@ -16,7 +16,7 @@
   server.on('connection', () => { connections += 1 })
   await once(server, 'listening')
   const port = createHttpService({ origin: `http://127.0.0.1:${(server.address() as AddressInfo).port}` })
-  for (let place = 0; place < calls; place += 1) {
+  for (let i = 0; i < calls; i += 1) {
     const call = { requestId: 'r', method, path: '/', contentType: '', body: new Uint8Array(), idempotencyKey: '', timeoutMs: 5_000 }
     await port.call(call, new AbortController().signal)
     await becomesIdle()
@@ -26,12 +26,12 @@
   return connections
 }
 
-test('calls of unsafe methods use a connection each', async () => {
+test('calls with unsafe methods use a new connection each', async () => {
   assert.is(await countConnections('POST', 3), 3)
   assert.is(await countConnections('DELETE', 2), 2)
 })
 
-test('calls of safe methods share a kept connection', async () => {
+test('calls with safe methods share a kept connection', async () => {
   assert.is(await countConnections('GET', 3), 1)
 })
 
@@ -50,23 +50,23 @@
   }
 }
 
-test('a service that is reset within an answer without a length has not answered', () => withBareService((socket) => {
+test('a call fails if its connection is reset within a close-delimited response', () => withBareService((socket) => {
   socket.write('HTTP/1.1 200 OK\r\nconnection: close\r\n\r\npart', () => socket.resetAndDestroy())
 }, async (call) => {
   const outcome = await call('r1')
   assert.is(outcome.type === 'failed' && outcome.reached, true)
 }))
 
-// A service that answers r1 twice, the second time 60 ms late: r2 is on its way on the kept
-// connection by then. The caller of r2 got the answer to r1, as its own and whole.
+// A service sends a duplicate response to r1 60 ms after the first, when r2 is already in
+// flight on the kept connection. The caller of r2 got this response, complete, as its own.
 const LATE_MS = 60
-const answerOf = (requestId: string): string => `HTTP/1.1 200 OK\r\ncontent-length: 2\r\nx-request-id: ${requestId}\r\n\r\n${requestId}`
+const responseTo = (requestId: string): string => `HTTP/1.1 200 OK\r\ncontent-length: 2\r\nx-request-id: ${requestId}\r\n\r\n${requestId}`
 
-test('a late second answer is not that of the next call', () => withBareService((socket, requestId) => {
-  if (requestId === 'r1') socket.write(answerOf('r1'))
-  if (requestId === 'r1') setTimeout(() => socket.write(answerOf('r1')), LATE_MS)
-  if (requestId === 'r2') setTimeout(() => socket.write(answerOf('r2')), 2 * LATE_MS)
-  if (requestId === 'r3') socket.write(answerOf('r3'))
+test('a late duplicate response is not used for the next call', () => withBareService((socket, requestId) => {
+  if (requestId === 'r1') socket.write(responseTo('r1'))
+  if (requestId === 'r1') setTimeout(() => socket.write(responseTo('r1')), LATE_MS)
+  if (requestId === 'r2') setTimeout(() => socket.write(responseTo('r2')), 2 * LATE_MS)
+  if (requestId === 'r3') socket.write(responseTo('r3'))
 }, async (call) => {
   assert.is((await call('r1')).type, 'answered')
   await pause(LATE_MS / 2)
@@ -77,13 +77,13 @@
   assert.is(third.type === 'answered' && Buffer.from(third.body).toString(), 'r3')
 }))
 
-test('a service that names no request in its answers has answered', () => withBareService((socket) => {
+test('a response without a request id is accepted', () => withBareService((socket) => {
   socket.write('HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok')
 }, async (call) => {
   assert.is((await call('r1')).type, 'answered')
 }))
 
-test('bytes above 0x7f in a content type come as they are', () => withBareService((socket) => {
+test('bytes above 0x7f in a content type are preserved', () => withBareService((socket) => {
   socket.write(Buffer.from('HTTP/1.1 200 OK\r\ncontent-length: 2\r\ncontent-type: a/b; n="\u20ac"\r\n\r\nok', 'utf8'))
 }, async (call) => {
   const outcome = await call('r1')
