--- a/packages/bendfall-platform/src/__tests__/unit/BendfallPlatformHttpEnds.test.ts
+++ b/packages/bendfall-platform/src/__tests__/unit/BendfallPlatformHttpEnds.test.ts
@@ -80,15 +80,15 @@
 }))
 
 const FRAMINGS: ReadonlyArray<readonly [string, string]> = [['with a length', WITH_LENGTH], ['in chunks', IN_CHUNKS], ['without a length', CLOSE_DELIMITED]]
-for (const [framing, whole] of FRAMINGS) {
+for (const [framing, complete] of FRAMINGS) {
   for (const [how, end] of [['in order', inOrder], ['by a reset', byReset], ['by a reset found with the last bytes', byResetWhileBusy]] as const) {
     test(`a response ${framing} that ends ${how} at any byte is complete or fails`, async () => {
       let sent = 0
-      await withPeer(() => whole.slice(0, sent), () => end, async (http) => {
-        for (; sent < whole.length; sent += 1) {
+      await withPeer(() => complete.slice(0, sent), () => end, async (http) => {
+        for (; sent < complete.length; sent += 1) {
           const response = await http.send(GET)
           // A close-delimited response that its server closes in order too early cannot be detected.
-          const isUndetectable = framing === 'without a length' && how === 'in order' && sent >= whole.indexOf('\r\n\r\n') + 4
+          const isUndetectable = framing === 'without a length' && how === 'in order' && sent >= complete.indexOf('\r\n\r\n') + 4
           if (!isUndetectable) assert.ok(response.isErr(), `after ${sent} bytes`)
         }
       })
