--- a/packages/bendfall-router/src/entry/BendfallRouterAllotment.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterAllotment.ts
@@ -14,13 +14,13 @@
 import type { RouterEventOf } from './BendfallRouterEvents.js'
 import type { RequestState } from './BendfallRouterRequest.js'
 
-/** Retry-After when no keeper answers: a new one is elected within one to two seconds. */
+/** Retry-After when no allotment leader answers: a new one is elected within one to two seconds. */
 const UNKNOWN_RETRY_AFTER_MS = 300
 
 /** Minimum Retry-After: a caller that retries sooner still falls into the same second. */
 const MIN_RETRY_AFTER_MS = 20
 
-/** Keeper that is asked next when the one with the given role does not answer. */
+/** Leader that is asked next when the one with the given role does not answer. */
 const FALLBACK_ROLE: Readonly<Record<AllotmentRole, AllotmentRole | undefined>> = { primary: 'reserve', reserve: undefined }
 
 /**
@@ -47,11 +47,11 @@
 }
 
 /**
- * Requests units from the keeper of the customer's allotment.
+ * Requests units from the leader that manages the customer's allotment.
  *
  * @param context - context of the current event
  * @param request - request that needs units
- * @returns the first step if the customer has no allotment; undefined while waiting for the keeper
+ * @returns the first step if the customer has no allotment; undefined while waiting for the leader
  */
 export function startAllotment ({ effects }: RouterContext, request: RequestState): NextStep {
   const { allotmentRole, customer, prompt } = request
@@ -63,12 +63,12 @@
 }
 
 /**
- * Handles the keeper's answer to a request for units.
+ * Handles the leader's answer to a request for units.
  *
  * @param context - context of the current event
  * @param request - request that waits for the units
- * @param event - outcome, with the customer, the keeper's role and the number of units
- * @returns the first step, another attempt at the reserve keeper, or a refusal
+ * @param event - outcome, with the customer, the leader's role and the number of units
+ * @returns the first step, another attempt at the reserve leader, or a refusal
  */
 export function takeUnitsAnswer (context: RouterContext, request: RequestState, { customer, outcome, role, units }: RouterEventOf<'units_answered'>): NextStep {
   if (outcome.type === 'granted') {
@@ -78,7 +78,7 @@
   logDecision(context, request, 'units_refused', { customer, role, units, outcome: outcome.type })
   if (outcome.type === 'refused' && role === 'primary') return { type: 'refuse', status: 429, reason: 'allotment_spent', retryAfterMs: Math.max(MIN_RETRY_AFTER_MS, outcome.retryAfterMs) }
   const next = FALLBACK_ROLE[role]
-  // A refusal by the reserve keeper is no proof that the allotment is spent: hence 503, not 429.
+  // A refusal by the reserve leader is no proof that the allotment is spent: hence 503, not 429.
   if (next === undefined) return { type: 'refuse', status: 503, reason: 'allotment_unknown', retryAfterMs: UNKNOWN_RETRY_AFTER_MS }
   request.allotmentRole = next
   return { type: 'allotment' }
@@ -88,7 +88,7 @@
  * Returns units that were granted to a request which no longer waits for them.
  *
  * @param context - context of the current event
- * @param event - the keeper's answer
+ * @param event - the leader's answer
  */
 export function giveBackOrphan ({ effects, state }: RouterContext, { attempt, customer, key, outcome, role, units }: RouterEventOf<'units_answered'>): void {
   const request = state.requests.get(key)
--- a/packages/bendfall-router/src/entry/BendfallRouterBelief.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterBelief.ts
@@ -113,7 +113,7 @@
   const candidates = (state.usedByService.get(request.service) ?? []).filter((view) =>
     !isLeaving(state, view) && backoffLeftMs(state.notices, nameProcess(view.replica), nowMs) === 0 && stageOf(view) === stage && !request.excluded.has(view.replica.replicaId) && isPermitted(state, view, nowMs))
   if (state.decisions.suspicion === 'off') return candidates
-  const trusted = candidates.filter((belief) => belief.suspectUntilMs <= nowMs && !isReportedUnhealthy(belief, nowMs) && !isStalled(belief, request.route.name, nowMs))
+  const trusted = candidates.filter((view) => view.suspectUntilMs <= nowMs && !isReportedUnhealthy(view, nowMs) && !isStalled(view, request.route.name, nowMs))
   return trusted.length > 0 ? trusted : candidates
 }
 
--- a/packages/bendfall-router/src/entry/BendfallRouterCallerWaits.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterCallerWaits.ts
@@ -66,7 +66,7 @@
   waits.retriesUntilMs = nowMs + RETRY_PERIOD_MS
 }
 
-function typicalWaitMs ({ recentWaitsMs: newestMs }: CallerWaits): number {
-  const sorted = [...newestMs].sort((one, other) => one - other)
+function typicalWaitMs ({ recentWaitsMs }: CallerWaits): number {
+  const sorted = [...recentWaitsMs].sort((one, other) => one - other)
   return sorted[Math.floor(sorted.length * TYPICAL_WAIT_QUANTILE)] as number
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterEffects.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterEffects.ts
@@ -30,9 +30,9 @@
   | { readonly type: 'refresh_replicas' }
   /** Queries ledgers for the loads of their replicas; without a request, nothing waits for the reports. */
   | { readonly type: 'ask_loads', readonly request?: LoadsQuery, readonly replicaIds: readonly string[] }
-  /** Takes units of a customer's allotment from the keeper that has the given role. */
+  /** Takes units of a customer's allotment from the leader that has the given role. */
   | { readonly type: 'take_units', readonly key: string, readonly attempt: number, readonly role: AllotmentRole, readonly customer: string, readonly units: number }
-  /** Requests permits from the keeper of limits after a delay. */
+  /** Requests permits from the permit leader after a delay. */
   | { readonly type: 'ask_permits', readonly replicaId: string, readonly ask: PermitAsk, readonly inMs: number }
   /** Returns units that were taken for a request that never ran. */
   | { readonly type: 'give_back_units', readonly role: AllotmentRole, readonly customer: string, readonly units: number }
--- a/packages/bendfall-router/src/entry/BendfallRouterEnd.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterEnd.ts
@@ -100,7 +100,7 @@
  */
 export function endAnswered (context: RouterContext, request: RequestState, inputs: DecisionInputs): void {
   const isLate = request.isCommitted ? request.isLate : context.nowMs > request.targetAtMs
-  logDecision(context, request, 'answered', { ...nameInputs(request), steps: request.attempt, isLate, ...inputs })
+  logDecision(context, request, 'answered', { ...nameLogInputs(request), steps: request.attempt, isLate, ...inputs })
   end(context, request)
 }
 
@@ -117,7 +117,7 @@
   context.effects.push({ type: 'abort_send', key: request.key })
   context.effects.push({ type: 'refuse', key: request.key, status, reason, retryAfterMs })
   recordRefusedCaller(context, request, retryAfterMs)
-  logDecision(context, request, 'refused', { ...nameInputs(request), status, reason, retryAfterMs, phase: request.phase, steps: request.attempt })
+  logDecision(context, request, 'refused', { ...nameLogInputs(request), status, reason, retryAfterMs, phase: request.phase, steps: request.attempt })
   end(context, request)
 }
 
@@ -136,7 +136,7 @@
 export function endCut (context: RouterContext, request: RequestState, reason: EndReason): void {
   context.effects.push({ type: 'abort_send', key: request.key })
   context.effects.push({ type: 'cut', key: request.key })
-  logDecision(context, request, 'cut', { ...nameInputs(request), reason, replica: request.runAt, lastEventId: request.lastEventId, steps: request.attempt })
+  logDecision(context, request, 'cut', { ...nameLogInputs(request), reason, replica: request.runAt, lastEventId: request.lastEventId, steps: request.attempt })
   end(context, request)
 }
 
@@ -149,7 +149,7 @@
 export function endCancelled (context: RouterContext, request: RequestState): void {
   noteUnanswered(context, request)
   context.effects.push({ type: 'abort_send', key: request.key })
-  logDecision(context, request, 'cancelled', { ...nameInputs(request), phase: request.phase, replica: request.runAt ?? request.prefillAt })
+  logDecision(context, request, 'cancelled', { ...nameLogInputs(request), phase: request.phase, replica: request.runAt ?? request.prefillAt })
   end(context, request)
 }
 
@@ -167,7 +167,7 @@
   context.effects.push({ type: 'forget', key: request.key })
 }
 
-function nameInputs ({ customer, route }: RequestState): DecisionInputs {
+function nameLogInputs ({ customer, route }: RequestState): DecisionInputs {
   return { route: route.name, customer: customer?.name }
 }
 
--- a/packages/bendfall-router/src/entry/BendfallRouterEvents.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterEvents.ts
@@ -117,7 +117,7 @@
   | { readonly type: 'replica_spoke', readonly replicaId: string, readonly notice: ReplicaNotice, readonly sentAtMs?: number }
   /** Limits that other entries have learned of. */
   | { readonly type: 'limits_learned', readonly limits: readonly NamedLimit[] }
-  /** Answer of the keeper of limits, or its absence. */
+  /** Answer of the permit leader, or its absence. */
   | { readonly type: 'permits_answered', readonly replicaId: string, readonly ask: PermitAsk, readonly outcome: PermitOutcome }
   /** Outcome of the check of a replica after a connection to it was lost. */
   | { readonly type: 'replica_checked', readonly replicaId: string, readonly startedAtMs?: number, readonly outcome: ProcessCheck }
