--- a/packages/bendfall-router/src/entry/BendfallRouterBelief.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterBelief.ts
@@ -27,7 +27,10 @@
 /** Consecutive failures after which a replica is avoided. */
 const FAILURES_TO_SUSPECT = 2
 
-/** Share of all replicas above which missing registrations are taken for ones that expired in an outage: operators never remove so many at once. */
+/**
+ * Share of all replicas above which missing registrations count as expired in an outage: operators
+ * remove fewer at once.
+ */
 const EXPIRED_IN_OUTAGE_SHARE = 0.5
 
 /** First period for which an unresponsive ledger is not queried; doubles with each consecutive failure. */
--- a/packages/bendfall-router/src/entry/BendfallRouterCallerWaits.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterCallerWaits.ts
@@ -28,7 +28,10 @@
 /** Period in which refused callers retry; waiting times of callers that arrive within it are not recorded. */
 const RETRY_PERIOD_MS = 6_000
 
-/** Quantile of the recorded times that is the typical wait: up to this share of callers may be retries or have a shorter timeout without affecting the others. */
+/**
+ * Quantile of the recorded times that is the typical wait: up to this share of callers may be retries
+ * or have a shorter timeout without the others being taken for retries.
+ */
 const TYPICAL_WAIT_QUANTILE = 0.25
 
 /**
--- a/packages/bendfall-router/src/entry/BendfallRouterEffects.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterEffects.ts
@@ -38,7 +38,7 @@
   | { readonly type: 'give_back_units', readonly role: AllotmentRole, readonly customer: string, readonly units: number }
   /** Books memory at the ledger beside a replica. */
   | { readonly type: 'reserve', readonly key: string, readonly attempt: number, readonly replicaId: string, readonly address: string, readonly bookingId: string, readonly promptTokens: number, readonly hintTokens: number, readonly maxOutputTokens: number, readonly leadMs: number, readonly maxWaitMs: number, readonly priority: number, readonly targetMs: number, readonly readsInPlace: boolean }
-  /** Requests a place in the queue of a prefill replica from the ledger beside it, which answers when the prompt can be processed soon. */
+  /** Requests a place in the queue of a prefill replica from its ledger, which answers when the prompt can be processed soon. */
   | { readonly type: 'queue_prefill', readonly key: string, readonly attempt: number, readonly replicaId: string, readonly bookingId: string, readonly promptTokens: number, readonly leadMs: number, readonly maxWaitMs: number, readonly priority: number, readonly targetMs: number }
   /** Announces a prompt that is being processed to the other entries; nothing waits for the answer. */
   | { readonly type: 'announce_prefill', readonly replicaId: string, readonly bookingId: string, readonly promptTokens: number }
