--- a/packages/bendfall-router/src/BendfallRouterDecisions.ts
+++ b/packages/bendfall-router/src/BendfallRouterDecisions.ts
@@ -1,62 +1,62 @@
 /**
- * Switches of the mechanisms that decide about requests. Each can be turned off
- * by a setting, so that what it is worth can be measured; users run the defaults.
+ * Switches of the mechanisms that decide about requests. Each mechanism can be disabled by a
+ * setting so that its effect can be measured; production deployments run the defaults.
  *
  * @module
  */
 
 /** Every mechanism with its alternatives; the first is the default. */
 export const DECISION_CHOICES = {
-  /** Where a prompt is read: at a prefill replica, or at the decode replica when that is sooner. */
+  /** Where a prompt is prefilled: at a prefill replica, or at the decode replica when that is forecast to be sooner. */
   read: ['by_forecast', 'apart', 'in_place'],
-  /** Whether decode memory is booked before a prompt is read. */
+  /** Whether decode memory is booked before the prompt is prefilled. */
   reserve: ['before_prefill', 'none'],
   /** Whether booked memory must be free at the replica before a request is sent there. */
   confirm: ['before_send', 'none'],
-  /** Whether requests wait for a busy prefill replica before they book memory. */
+  /** Whether requests queue for a busy prefill replica before they book memory. */
   prefillSlots: ['queued', 'none'],
-  /** Order of those that wait for a replica. */
+  /** Order of the requests that wait for a replica. */
   queueOrder: ['due_first', 'arrival'],
-  /** Whether those that can't be on time wait behind the others. */
+  /** Whether requests that can no longer meet their latency target wait behind the others. */
   late: ['behind', 'equal'],
-  /** Whether those that can't be on time are refused while others wait for the same replica. */
+  /** Whether requests that can no longer meet their latency target are rejected while others wait for the same replica. */
   crowd: ['refuse_late', 'hold'],
-  /** From when the target of a caller counts that was refused and returns: from its first try, by the usual or by the longest wait of its route's callers, or from each try. */
+  /** Start of the latency target of a request that was rejected and is retried by its caller: the first attempt, assuming the usual or the longest wait of the route's callers, or each attempt. */
   returning: ['usual_wait', 'first_try', 'each_try'],
-  /** How long an answer is expected to be. */
+  /** How the output length is predicted. */
   outputs: ['learned', 'hinted'],
-  /** Whether memory that running answers will need is kept for them. */
+  /** Whether memory for the growth of running requests is kept free. */
   room: ['forecast', 'free_now'],
-  /** Whether replicas change between the pools. */
+  /** Whether replicas are moved between the pools. */
   pools: ['balanced', 'as_found'],
-  /** Whether replicas that failed are left alone for a time. */
+  /** Whether replicas that failed are avoided for a time. */
   suspicion: ['on', 'off'],
-  /** Whether a broken stream goes on at another replica. */
+  /** Whether a broken stream is resumed on another replica. */
   resume: ['elsewhere', 'none'],
-  /** Whether a request is sent again after a failure. */
+  /** Whether a request is retried after a failure. */
   retries: ['budgeted', 'none'],
-  /** Whether requests that crash the replicas which run them are refused. */
+  /** Whether requests that crash the replicas running them are rejected. */
   crashes: ['refused', 'served'],
   /** Which replica serves a request. */
   replica: ['best', 'random'],
-  /** Which registrations at one address count. */
+  /** Which registrations are used when several have the same address. */
   addresses: ['latest', 'all'],
   /** Whether a prefill replica in the decode replica's availability zone is preferred. */
   zones: ['near', 'any'],
-  /** What a refused caller is told. */
+  /** How the retry delay returned to a rejected caller is chosen. */
   retryAfter: ['forecast', 'fixed']
 } as const
 
 /** Name of a mechanism. */
 export type DecisionName = keyof typeof DECISION_CHOICES
 
-/** Choice for each mechanism. */
+/** The selected alternative of each mechanism. */
 export type RouterDecisions = { readonly [N in DecisionName]: (typeof DECISION_CHOICES)[N][number] }
 
-/** What users run. */
+/** Default alternative of each mechanism. */
 export const DEFAULT_DECISIONS = Object.fromEntries(Object.entries(DECISION_CHOICES).map(([name, [first]]) => [name, first])) as unknown as RouterDecisions
 
-/** Schema of the section of the settings; see JSON Schema. */
+/** JSON Schema of the `decisions` section of the settings. */
 export const DECISIONS_SCHEMA = {
   type: 'object',
   additionalProperties: false,
--- a/packages/bendfall-router/src/BendfallRouterTypes.ts
+++ b/packages/bendfall-router/src/BendfallRouterTypes.ts
@@ -1,60 +1,60 @@
 /**
- * What the router knows of the deployment: configuration, replicas, prompts.
+ * The router's model of the deployment: configuration, replicas, prompts.
  *
  * @module
  */
 
-/** Whether a request may run more than once, and how its answer comes. */
+/** Whether a request may run more than once, and whether its response is streamed. */
 export type RouteKind = 'idempotent' | 'non_idempotent' | 'streaming'
 
-/** Pool that a model replica works in; `plain` for replicas without a model. */
+/** Pool of a model replica; `plain` for replicas without a model. */
 export type ReplicaStage = 'prefill' | 'decode' | 'plain'
 
-/** Part of a route's traffic that goes to one service. */
+/** Share of a route's traffic that is sent to one service. */
 export interface WeightedService {
   readonly service: string
   readonly weight: number
 }
 
-/** How requests of one host and path prefix are served. */
+/** How requests for one host and path prefix are served. */
 export interface Route {
   readonly name: string
   readonly host: string
   /** Begins and ends with a slash. */
   readonly pathPrefix: string
   readonly kind: RouteKind
-  /** Longest time from arrival to the final answer. */
+  /** Maximum time from arrival to the end of the response. */
   readonly timeoutMs: number
-  /** Time to the answer, or to the first event of a stream, for full value. */
+  /** Latency of the response, or of the first event of a stream, up to which a request has its full value. */
   readonly targetLatencyMs: number
-  /** Longest pause between events for which a stream is on time. */
+  /** Maximum gap between events for which a stream counts as on time. */
   readonly targetGapMs: number
-  /** Longest wait for the next event after which callers give a stream up. */
+  /** Gap between events after which callers abandon a stream. */
   readonly patienceMs: number
-  /** 0 is the most important. */
+  /** 0 is the highest priority. */
   readonly priority: number
-  /** Replicas that one request may run on. */
+  /** Maximum number of replicas that one request may run on. */
   readonly maxAttempts: number
   /** Whether requests carry a prompt. */
   readonly hasPrompt: boolean
-  /** Whether a stream may be continued by another replica. */
+  /** Whether a stream may be resumed on another replica. */
   readonly isResumable: boolean
-  /** Whether requests need no key. */
+  /** Whether requests are accepted without an API key. */
   readonly isOpen: boolean
   readonly services: readonly WeightedService[]
 }
 
-/** What a model replica of a service can hold. */
+/** Capacity of one model replica of a service. */
 export interface EngineProfile {
   readonly slots: number
   readonly kvTokens: number
-  /** Time for which the result of a prefill is kept. */
+  /** How long the result of a prefill is kept. */
   readonly handleTtlMs: number
-  /** Time without service while a replica changes its stage. */
+  /** How long a replica is out of service while it changes its stage. */
   readonly switchMs: number
 }
 
-/** A service and its replicas' common properties. */
+/** A service and the properties that its replicas share. */
 export interface ServiceConfig {
   readonly name: string
   /** Connections that one replica accepts from all callers together. */
@@ -63,7 +63,7 @@
   readonly engine?: EngineProfile
 }
 
-/** Bounds on what a caller may send. */
+/** Size limits and timeouts for requests of callers. */
 export interface CallerLimits {
   readonly headerBytes: number
   readonly bodyBytes: number
@@ -71,34 +71,34 @@
   readonly idleTimeoutMs: number
 }
 
-/** What counts against an allotment: tokens of prompts and answers, or requests. */
+/** Unit in which an allotment is counted: tokens of prompts and outputs, or requests. */
 export type AllotmentUnit = 'tokens' | 'requests'
 
-/** What a customer may use at all entries together. */
+/** Rate limit of a customer across all entries. */
 export interface Allotment {
   readonly unit: AllotmentUnit
   readonly unitsPerS: number
-  /** Units that may be used at once after a time without use. */
+  /** Units that can be used at once after an idle period. */
   readonly burstUnits: number
-  /** Units of a request that declares none. */
+  /** Units charged for a request that declares none. */
   readonly undeclaredUnits: number
 }
 
-/** Who sends requests, and pays for them. */
+/** A party that sends requests and is charged for them. */
 export interface Customer {
   readonly name: string
-  /** Digests of its keys; the keys themselves stay in the adapter. */
+  /** Digests of the customer's API keys; the plain keys never leave the adapter. */
   readonly keyDigests: readonly string[]
-  /** Goes before that of the route; absent: the route's counts. */
+  /** Overrides the priority of the route; absent: the priority of the route applies. */
   readonly priority?: number
   /** Absent: the customer has no limit. */
   readonly allotment?: Allotment
 }
 
-/** The configuration in force. */
+/** The active configuration. */
 export interface RouterConfig {
   readonly version: number
-  /** Absent: callers need no key. */
+  /** Absent: callers need no API key. */
   readonly customers?: readonly Customer[]
   readonly routes: readonly Route[]
   readonly services: readonly ServiceConfig[]
@@ -108,11 +108,11 @@
 /** A replica as it registered itself. */
 export interface Replica {
   readonly replicaId: string
-  /** Grows from one registration to the next, so that of two at one address the later is known. */
+  /** Increases with each registration, so that the later of two at the same address can be identified. */
   readonly registeredAtRevision: number
-  /** Grows with each write of the registration. */
+  /** Increases with each write of the registration. */
   readonly revision: number
-  /** Start of the replica's process, Unix time: its incarnation. Absent where the platform does not tell it. */
+  /** Start of the replica's process in Unix time, which identifies its incarnation. Absent where the platform does not report it. */
   readonly startedAtMs?: number
   /** Heartbeats since the start of the process. */
   readonly heartbeats: number
@@ -125,30 +125,30 @@
   readonly stage: ReplicaStage
 }
 
-/** Prompt of a request, as its caller declared it. */
+/** The prompt of a request, as declared by its caller. */
 export interface Prompt {
   readonly promptTokens: number
   readonly maxOutputTokens: number
-  /** The caller's estimate of the output; absent when it gave none. */
+  /** The caller's estimate of the output; absent if it gave none. */
   readonly outputHintTokens?: number
 }
 
-/** Horizons of the room that a ledger tells, in milliseconds from its reading. */
+/** Horizons of the free memory that a ledger reports, in milliseconds after its reading. */
 export const ROOM_HORIZONS_MS: readonly number[] = [0, 100, 250, 500, 750, 1000, 1500, 2000, 3000, 4000]
 
-/** Load of a model replica, as the ledger beside it tells. */
+/** Load of a model replica, as reported by its ledger. */
 export interface ReplicaLoad {
   readonly replicaId: string
-  /** Absent while the replica has not answered. */
+  /** Absent while the replica has not responded. */
   readonly stage?: ReplicaStage
   readonly isHealthy: boolean
-  /** Whether the replica says that it leaves; absent: its ledger does not tell. */
+  /** Whether the replica reports that it is shutting down; absent if its ledger does not report it. */
   readonly isLeaving?: boolean
-  /** Requests a second that the replica takes from all entries together; absent: it names no limit. */
+  /** Requests per second that the replica accepts from all entries together; absent if it advertises no limit. */
   readonly limitPerS?: number
   readonly capacityTokens: number
-  /** Smallest room from each of {@link ROOM_HORIZONS_MS} on, queue included. */
+  /** Minimum free memory from each of {@link ROOM_HORIZONS_MS} on, less the memory of queued requests. */
   readonly roomTokens: readonly number[]
-  /** Tokens of the prompts that a prefill replica has, or that a decode replica reads itself. */
+  /** Prompt tokens assigned to a prefill replica, or still to be prefilled by a decode replica itself. */
   readonly backlogTokens: number
 }
--- a/packages/bendfall-router/src/allotments/BendfallRouterAllotmentKeeper.ts
+++ b/packages/bendfall-router/src/allotments/BendfallRouterAllotmentKeeper.ts
@@ -1,10 +1,10 @@
 /**
- * Keeps the allotments of all customers at one entry, which holds that duty under a lease.
+ * Keeps the allotments of all customers at one entry, which is elected leader and holds a lease.
  *
- * Two roles share what a customer may use. The primary keeps the allotment itself. The
- * reserve keeps what the bounds allow beyond it, and is asked only while no primary answers,
- * so that neither an entry that dies nor one that is cut off refuses what is due, and both
- * together stay within the bounds whoever asks whom.
+ * There are two roles, each with its own leader. The primary grants the allotment itself. The
+ * reserve grants the overuse that the bounds permit, and is asked only while no primary responds.
+ * Thus neither an entry that crashes nor one that is partitioned causes rejections of requests within
+ * the allotment, and both leaders together stay within the bounds whichever of them each entry asks.
  *
  * @module
  */
@@ -12,63 +12,63 @@
 import { createBucket, giveBackUnits, takeUnits } from './BendfallRouterTokenBucket.js'
 import type { BucketLimit, TakeOutcome, TokenBucket } from './BendfallRouterTokenBucket.js'
 
-/** Which part of the allotments an entry keeps. */
+/** Which part of the allotments a leader grants. */
 export type AllotmentRole = 'primary' | 'reserve'
 
 /** All roles. */
 export const ALLOTMENT_ROLES: readonly AllotmentRole[] = ['primary', 'reserve']
 
-/** What may be used beyond an allotment, in any window. */
+/** Permitted use beyond an allotment, in any window. */
 export interface AllotmentBounds {
   readonly windowMs: number
-  /** Of the allotment of a window. */
+  /** Relative to the allotment of one window. */
   readonly overShare: number
   readonly slackUnits: number
 }
 
-/** Without bounds in the settings nothing is granted beyond an allotment. */
+/** Used where the settings define no bounds: nothing is granted beyond an allotment. */
 export const DEFAULT_ALLOTMENT_BOUNDS: AllotmentBounds = { windowMs: 8_000, overShare: 0, slackUnits: 0 }
 
-/** Outcome of asking a keeper. */
+/** Result of a request to a leader. */
 export type UnitsOutcome =
   | TakeOutcome
-  /** No answer, or its process doesn't hold the duty. */
+  /** The leader did not respond, or the process is not the leader. */
   | { readonly type: 'unreachable' }
 
-/** Buckets of one time of holding the duty. */
+/** State of a leader, kept for one term. */
 export interface AllotmentKeeper {
   readonly role: AllotmentRole
   readonly bounds: AllotmentBounds
-  /** Since when the duty is held; before, another process may have granted. */
+  /** When this process became leader; before that, another process may have granted units. */
   readonly sinceMs: number
   readonly buckets: Map<string, TokenBucket>
 }
 
-/** Of the units beyond an allotment: those that the reserve grants at once after a time without use. */
+/** Share of the units beyond an allotment that the reserve grants at once after an idle period. */
 const RESERVE_BURST_SHARE = 0.5
 
 const MS_PER_SECOND = 1_000
 
 /**
- * Makes a keeper that has granted nothing.
+ * Creates the state of a leader that has granted nothing.
  *
- * @param role - that it has
- * @param bounds - of the deployment
- * @param sinceMs - since when the duty is held
- * @returns the keeper
+ * @param role - which part of the allotments it grants
+ * @param bounds - permitted use beyond the allotments in this deployment
+ * @param sinceMs - when the process became leader
+ * @returns the state
  */
 export function createAllotmentKeeper (role: AllotmentRole, bounds: AllotmentBounds, sinceMs: number): AllotmentKeeper {
   return { role, bounds, sinceMs, buckets: new Map() }
 }
 
 /**
- * Takes units of a customer's allotment.
+ * Takes units from a customer's allotment.
  *
  * @param keeper - its buckets are changed in place
- * @param customer - by the configuration in force here
- * @param units - of the request
- * @param nowMs - the time
- * @returns whether they were granted
+ * @param customer - customer from the configuration that is active at the leader
+ * @param units - units that the request needs
+ * @param nowMs - current time
+ * @returns whether the units were granted
  */
 export function takeOfAllotment (keeper: AllotmentKeeper, { allotment, name }: Customer, units: number, nowMs: number): TakeOutcome {
   if (allotment === undefined) return { type: 'granted' }
@@ -77,12 +77,12 @@
 }
 
 /**
- * Gives units back to a customer's allotment.
+ * Returns units to a customer's allotment.
  *
  * @param keeper - its buckets are changed in place
- * @param customer - by the configuration in force here
- * @param units - that were taken for a request that never ran
- * @param nowMs - the time
+ * @param customer - customer from the configuration that is active at the leader
+ * @param units - units taken for a request that never ran
+ * @param nowMs - current time
  */
 export function giveBackToAllotment (keeper: AllotmentKeeper, { allotment, name }: Customer, units: number, nowMs: number): void {
   if (allotment === undefined) return
@@ -91,26 +91,26 @@
 }
 
 /**
- * Forgets customers that the configuration no longer has.
+ * Removes the buckets of customers that are no longer configured.
  *
  * @param keeper - its buckets are changed in place
- * @param names - of the customers that remain
+ * @param names - names of the customers that remain
  */
 export function keepCustomers ({ buckets }: AllotmentKeeper, names: ReadonlySet<string>): void {
   for (const name of buckets.keys()) if (!names.has(name)) buckets.delete(name)
 }
 
 function bucketOf ({ buckets, sinceMs }: AllotmentKeeper, name: string, limit: BucketLimit): TokenBucket {
-  const known = buckets.get(name)
-  if (known !== undefined) return known
-  const made = createBucket(limit, sinceMs)
-  buckets.set(name, made)
-  return made
+  const existing = buckets.get(name)
+  if (existing !== undefined) return existing
+  const created = createBucket(limit, sinceMs)
+  buckets.set(name, created)
+  return created
 }
 
 function limitOf ({ bounds, role }: AllotmentKeeper, { burstUnits, unitsPerS }: Allotment): BucketLimit {
   if (role === 'primary') return { unitsPerS, burstUnits }
   const windowS = bounds.windowMs / MS_PER_SECOND
-  const beyondUnits = bounds.overShare * (unitsPerS * windowS + burstUnits) + bounds.slackUnits
-  return { unitsPerS: beyondUnits * (1 - RESERVE_BURST_SHARE) / windowS, burstUnits: beyondUnits * RESERVE_BURST_SHARE }
+  const overuseUnits = bounds.overShare * (unitsPerS * windowS + burstUnits) + bounds.slackUnits
+  return { unitsPerS: overuseUnits * (1 - RESERVE_BURST_SHARE) / windowS, burstUnits: overuseUnits * RESERVE_BURST_SHARE }
 }
--- a/packages/bendfall-router/src/allotments/BendfallRouterTokenBucket.ts
+++ b/packages/bendfall-router/src/allotments/BendfallRouterTokenBucket.ts
@@ -1,13 +1,14 @@
 /**
- * A token bucket: fills at a steady rate up to a burst, and is emptied by what is taken.
+ * A token bucket: fills at a steady rate up to a burst size and is drained by the units taken.
  *
- * It answers a load that is beyond its rate: what fits is granted at once, what does not is
- * told when it will, and those who were told come back one after the other.
+ * It handles a load beyond its rate: units that are available are granted at once, and other
+ * requests are rejected with a retry delay. The delays are spaced so that rejected requests return one after
+ * the other.
  *
  * @module
  */
 
-/** What a bucket allows. */
+/** Rate and burst size of a bucket. */
 export interface BucketLimit {
   readonly unitsPerS: number
   readonly burstUnits: number
@@ -15,30 +16,30 @@
 
 /** State of a bucket. */
 export interface TokenBucket {
-  /** Below 0 after a request that is larger than the burst. */
+  /** Negative after a request larger than the burst. */
   units: number
-  /** Units that it may lack because what was taken before it was made is not known. */
+  /** Units that may be missing from `units`, since units taken before the bucket was created are unknown. */
   unknownUnits: number
-  /** Time up to which it has been filled. */
+  /** Time up to which the bucket has been filled. */
   filledAtMs: number
-  /** When the last of those that were refused fits, by what they were told. */
+  /** Latest retry time that was given to a rejected request. */
   returnsUntilMs: number
 }
 
-/** Outcome of an attempt to take units. */
+/** Result of an attempt to take units. */
 export type TakeOutcome =
   | { readonly type: 'granted' }
   | { readonly type: 'refused', readonly retryAfterMs: number }
-  /** They don't fit for certain, and may be due all the same. */
+  /** It is unknown whether the units are available: unrecorded use may or may not have spent them. */
   | { readonly type: 'uncertain' }
 
 const MS_PER_SECOND = 1_000
 
 /**
- * Makes an empty bucket: what may have been taken before is not known.
+ * Creates an empty bucket, since the units taken before are unknown.
  *
- * @param limit - in force
- * @param sinceMs - time since which it fills
+ * @param limit - current rate and burst size
+ * @param sinceMs - time from which the bucket fills
  * @returns the bucket
  */
 export function createBucket ({ burstUnits }: BucketLimit, sinceMs: number): TokenBucket {
@@ -46,13 +47,13 @@
 }
 
 /**
- * Takes units. A request that is larger than the burst takes all and leaves a debt.
+ * Takes units. A request larger than the burst is granted when the bucket is full and leaves it negative.
  *
  * @param bucket - changed in place
- * @param limit - in force
- * @param units - of the request
- * @param nowMs - the time
- * @returns whether they were granted; otherwise the time until they will fit, behind those that were refused before
+ * @param limit - current rate and burst size
+ * @param units - units that the request needs
+ * @param nowMs - current time
+ * @returns whether the units were granted; if rejected, the delay until they fit behind the requests rejected before
  */
 export function takeUnits (bucket: TokenBucket, limit: BucketLimit, units: number, nowMs: number): TakeOutcome {
   fill(bucket, limit, nowMs)
@@ -70,12 +71,12 @@
 }
 
 /**
- * Gives units back that were taken for nothing.
+ * Returns units that were taken but not used.
  *
  * @param bucket - changed in place
- * @param limit - in force
- * @param units - that were taken
- * @param nowMs - the time
+ * @param limit - current rate and burst size
+ * @param units - units to return
+ * @param nowMs - current time
  */
 export function giveBackUnits (bucket: TokenBucket, limit: BucketLimit, units: number, nowMs: number): void {
   fill(bucket, limit, nowMs)
@@ -86,7 +87,7 @@
   const elapsedMs = Math.max(0, nowMs - bucket.filledAtMs)
   const units = elapsedMs * unitsPerS / MS_PER_SECOND
   bucket.units = Math.min(burstUnits, bucket.units + units)
-  // In doubt for as long as a bucket takes to fill, also where all that it gets is taken.
+  // The uncertainty lasts for the time that the bucket takes to fill, even if all that it receives is taken.
   bucket.unknownUnits = Math.max(0, bucket.unknownUnits - units)
   bucket.filledAtMs = Math.max(bucket.filledAtMs, nowMs)
 }
--- a/packages/bendfall-router/src/customers/BendfallRouterCustomers.ts
+++ b/packages/bendfall-router/src/customers/BendfallRouterCustomers.ts
@@ -1,64 +1,64 @@
 /**
- * Finds out whose request it is. A key decides it, never the caller's own word. What an
- * entry knows of keys is as old as the question whose answer told it; when that is too long
- * ago a key may have been taken away since, and requests with keys are refused.
+ * Authenticates requests by their API keys, never by what callers claim about themselves. An
+ * entry's view of the keys is as old as the read that returned it. Once it is too old, a key may have been
+ * revoked since, and requests with keys are rejected.
  *
  * @module
  */
 import type { Customer, RouterConfig } from '../BendfallRouterTypes.js'
 
-/** Bounds on what an entry may believe of keys. */
+/** Bounds on how old an entry's view of the keys may be. */
 export interface CredentialLimits {
-  /** Time after which a key that was taken away must open nothing, at any entry. */
+  /** Time after a revocation by which every entry must reject the key. */
   readonly revokedWithinMs: number
-  /** Whether that holds for entries that can't learn of it; otherwise they go on with what they know. */
+  /** Whether that also binds entries that are cut off from revocations; otherwise they continue with their last view. */
   readonly isStrict: boolean
-  /** Time after which a new key must be known to entries that reach the key-value service. */
+  /** Time by which a new key must be accepted by entries that can reach the key-value service. */
   readonly appliedWithinMs: number
 }
 
-/** Limits where the settings tell none. */
+/** Used where the settings define no limits. */
 export const DEFAULT_CREDENTIAL_LIMITS: CredentialLimits = { revokedWithinMs: 5_000, isStrict: true, appliedWithinMs: 2_000 }
 
-/** Of the time until a removal binds: the rest is for clocks that differ and a process that is late. */
-const TRUSTED_SHARE = 0.8
+/** Share of `revokedWithinMs` for which a view is trusted; the rest covers clock differences and a delayed process. */
+const TRUSTED_AGE_SHARE = 0.8
 
-/** Of the time until a new key is known: an entry that knows less can't call a key unknown. */
-const UNKNOWN_SHARE = 0.9
+/** Share of `appliedWithinMs`: an entry with an older view can't reject a key as unknown. */
+const UNKNOWN_KEY_AGE_SHARE = 0.9
 
-/** Of the time for which keys are believed: an entry that comes near its end sends callers elsewhere. */
-const READY_SHARE = 0.85
+/** Share of the trusted age: beyond it an entry reports not ready, so that callers are sent elsewhere. */
+const READY_AGE_SHARE = 0.85
 
-/** Customers of a configuration. */
+/** Lookup tables of the customers in a configuration. */
 export interface CustomerIndex {
   readonly byKeyDigest: ReadonlyMap<string, Customer>
   readonly byName: ReadonlyMap<string, Customer>
 }
 
-/** Whose request it is. */
+/** Result of authenticating a request. */
 export type Authentication =
-  /** The deployment has no customers, or the route is open and the key is no customer's. */
+  /** The deployment has no customers, or the route allows anonymous requests and the key can't be attributed to one. */
   | { readonly type: 'anonymous' }
   | { readonly type: 'customer', readonly customer: Customer }
-  /** No configuration that may be in force has the key. */
+  /** No configuration that may be active contains the key. */
   | { readonly type: 'unknown' }
-  /** The key may have been taken away, or added, since the entry last learned of keys. */
+  /** The key may have been revoked, or added, since the entry last read the keys. */
   | { readonly type: 'unproven' }
 
-/** What decides it. */
+/** Inputs of authentication. */
 export interface Credentials {
   /** Absent where the deployment has no customers. */
   readonly index?: CustomerIndex
   readonly limits: CredentialLimits
-  /** Time since which the entry knows of all changes of keys. */
+  /** Age of the entry's view of the keys: all changes before that are included. */
   readonly ageMs: number
 }
 
 /**
- * Makes the index of a configuration.
+ * Creates the lookup tables for a configuration.
  *
- * @param config - the configuration
- * @returns the index; undefined where the configuration has no customers
+ * @param config - configuration whose customers are indexed
+ * @returns the index; undefined if the configuration has no customers
  */
 export function indexCustomers ({ customers }: RouterConfig): CustomerIndex | undefined {
   if (customers === undefined) return undefined
@@ -72,33 +72,33 @@
 /**
  * Finds the customer of a request.
  *
- * @param credentials - what the entry knows of keys
- * @param keyDigest - digest of the key that came with the request, if one did
- * @param isOpen - whether the route asks for no key
- * @returns whose request it is
+ * @param credentials - the entry's current view of the keys
+ * @param keyDigest - digest of the API key sent with the request; undefined if there was none
+ * @param allowsAnonymous - whether the route accepts requests without a key
+ * @returns the customer, or why the request has none
  */
-export function authenticate ({ ageMs, index, limits }: Credentials, keyDigest: string | undefined, isOpen: boolean): Authentication {
+export function authenticate ({ ageMs, index, limits }: Credentials, keyDigest: string | undefined, allowsAnonymous: boolean): Authentication {
   if (index === undefined) return { type: 'anonymous' }
   const customer = keyDigest === undefined ? undefined : index.byKeyDigest.get(keyDigest)
-  const isTrusted = ageMs <= trustedMs(limits)
-  if (isOpen) return customer === undefined || !isTrusted ? { type: 'anonymous' } : { type: 'customer', customer }
-  // Without a key there is nothing that a newer version could tell.
+  const isTrusted = ageMs <= maxTrustedAgeMs(limits)
+  if (allowsAnonymous) return customer === undefined || !isTrusted ? { type: 'anonymous' } : { type: 'customer', customer }
+  // A newer view could not change the result of a request without a key.
   if (keyDigest === undefined) return { type: 'unknown' }
   if (!isTrusted) return { type: 'unproven' }
   if (customer !== undefined) return { type: 'customer', customer }
-  return ageMs <= limits.appliedWithinMs * UNKNOWN_SHARE ? { type: 'unknown' } : { type: 'unproven' }
+  return ageMs <= limits.appliedWithinMs * UNKNOWN_KEY_AGE_SHARE ? { type: 'unknown' } : { type: 'unproven' }
 }
 
 /**
- * Tells whether an entry knows enough of keys for callers to be sent to it.
+ * Returns whether an entry's view of the keys is recent enough for callers to be sent to it.
  *
- * @param credentials - what the entry knows of keys
- * @returns false when it would soon refuse requests with keys
+ * @param credentials - the entry's current view of the keys
+ * @returns false if the entry would soon reject requests with keys
  */
 export function isKnowledgeFresh ({ ageMs, index, limits }: Credentials): boolean {
-  return index === undefined || ageMs <= trustedMs(limits) * READY_SHARE
+  return index === undefined || ageMs <= maxTrustedAgeMs(limits) * READY_AGE_SHARE
 }
 
-function trustedMs ({ isStrict, revokedWithinMs }: CredentialLimits): number {
-  return isStrict ? revokedWithinMs * TRUSTED_SHARE : Infinity
+function maxTrustedAgeMs ({ isStrict, revokedWithinMs }: CredentialLimits): number {
+  return isStrict ? revokedWithinMs * TRUSTED_AGE_SHARE : Infinity
 }
--- a/packages/bendfall-router/src/directory/BendfallRouterRoutes.ts
+++ b/packages/bendfall-router/src/directory/BendfallRouterRoutes.ts
@@ -1,26 +1,26 @@
 /**
- * Finds the route of a request and the service that it goes to.
+ * Finds the route of a request and the service that it is sent to.
  *
  * @module
  */
 import type { Route, RouterConfig, WeightedService } from '../BendfallRouterTypes.js'
 
-/** Routes of a host by their prefixes. */
+/** Routes of one host, by path prefix. */
 type RoutesByPrefix = ReadonlyMap<string, Route>
 
-/** Made once for each configuration: one may have thousands of routes. */
-const INDEXES = new WeakMap<RouterConfig, ReadonlyMap<string, RoutesByPrefix>>()
+/** Built once for each configuration, since one may have thousands of routes. */
+const ROUTE_INDEXES = new WeakMap<RouterConfig, ReadonlyMap<string, RoutesByPrefix>>()
 
 /**
- * Finds the route with the longest prefix of a path among those of a host.
+ * Finds the route of a host with the longest prefix of a path.
  *
- * @param config - the configuration in force
- * @param host - host of the request; a port is ignored, as is the case
- * @param path - path of the request; a query is ignored
- * @returns the route, or undefined when none matches
+ * @param config - the active configuration
+ * @param host - host of the request; the port is ignored and case does not matter
+ * @param path - path of the request; the query is ignored
+ * @returns the route, or undefined if none matches
  */
 export function findRoute (config: RouterConfig, host: string, path: string): Route | undefined {
-  const routes = indexOf(config).get(host.replace(/:\d+$/, '').toLowerCase())
+  const routes = routeIndexOf(config).get(host.replace(/:\d+$/, '').toLowerCase())
   if (routes === undefined) return undefined
   const plainPath = path.split('?', 1)[0] as string
   // Prefixes end with a slash.
@@ -31,9 +31,9 @@
   return undefined
 }
 
-function indexOf (config: RouterConfig): ReadonlyMap<string, RoutesByPrefix> {
-  const known = INDEXES.get(config)
-  if (known !== undefined) return known
+function routeIndexOf (config: RouterConfig): ReadonlyMap<string, RoutesByPrefix> {
+  const cached = ROUTE_INDEXES.get(config)
+  if (cached !== undefined) return cached
   const byHost = new Map<string, Map<string, Route>>()
   for (const route of config.routes) {
     const host = route.host.toLowerCase()
@@ -41,23 +41,23 @@
     if (!routes.has(route.pathPrefix)) routes.set(route.pathPrefix, route)
     byHost.set(host, routes)
   }
-  INDEXES.set(config, byHost)
+  ROUTE_INDEXES.set(config, byHost)
   return byHost
 }
 
 /**
- * Picks a service of a route by weight.
+ * Picks a service of a route at random, by weight.
  *
- * @param services - services with weights; at least one
- * @param draw - number from 0 (included) to 1 (excluded)
+ * @param services - candidates with their weights; at least one
+ * @param draw - random number from 0 (inclusive) to 1 (exclusive)
  * @returns name of the service
  */
 export function pickService (services: readonly WeightedService[], draw: number): string | undefined {
   const total = services.reduce((sum, one) => sum + one.weight, 0)
-  let left = draw * total
+  let remaining = draw * total
   for (const one of services) {
-    left -= one.weight
-    if (left < 0) return one.service
+    remaining -= one.weight
+    if (remaining < 0) return one.service
   }
   return services.at(-1)?.service
 }
