--- a/packages/bendfall-router/src/ledger/BendfallRouterLedger.ts
+++ b/packages/bendfall-router/src/ledger/BendfallRouterLedger.ts
@@ -1,7 +1,6 @@
 /**
- * The ledger of one replica's decode memory: who holds what, who waits, and
- * what the replica itself reports. One reducer; the sidecar beside the replica
- * runs it.
+ * The ledger of one replica's decode memory: which requests have booked memory, which wait for it,
+ * and what the replica reports. It is one reducer, run by the sidecar of the replica.
  *
  * @module
  */
@@ -9,24 +8,24 @@
 import type { RouterDecisions } from '../BendfallRouterDecisions.js'
 import type { ReplicaLoad } from '../BendfallRouterTypes.js'
 import { roomByHorizon } from './BendfallRouterForecast.js'
-import { expectedOutput, forecastOf, freeTokens } from './BendfallRouterLedgerMemory.js'
-import { giveUpWaiting, grantWaiting, takeAsk } from './BendfallRouterLedgerQueue.js'
-import { confirmWaiting, dropUnseen, forgetFormerIncarnation, incarnationOf, isOld, takeReport } from './BendfallRouterLedgerReport.js'
+import { expectedOutputTokens, forecastOf, freeTokens } from './BendfallRouterLedgerMemory.js'
+import { failPendingBookings, grantPendingBookings, handleBookingRequest } from './BendfallRouterLedgerQueue.js'
+import { answerConfirmations, applyReport, dropPreviousIncarnation, dropUnusedBookings, incarnationOf, isReportStale } from './BendfallRouterLedgerReport.js'
 import { backlogTokens } from './BendfallRouterLedgerSlots.js'
 import type { LedgerEffect, LedgerEvent, LedgerState } from './BendfallRouterLedgerState.js'
 import { createOutputModel } from './BendfallRouterOutputModel.js'
 
-/** Output speed before any was measured: steps of 4 ms. */
-const FIRST_TOKENS_PER_MS = 0.25
+/** Initial output rate, used until one is measured: one token per step of 4 ms. */
+const INITIAL_TOKENS_PER_MS = 0.25
 
 /**
- * Makes an empty ledger.
+ * Creates an empty ledger.
  *
- * @param decisions - switches of its mechanisms
+ * @param decisions - which mechanisms are enabled
  * @returns the state
  */
 export function createLedgerState (decisions: RouterDecisions = DEFAULT_DECISIONS): LedgerState {
-  return { decisions, isHealthy: false, bookings: new Map(), waiting: [], lastWaitAtMs: -Infinity, output: createOutputModel(), tokensPerMs: FIRST_TOKENS_PER_MS, lastRuns: new Map(), lastReportAtMs: 0 }
+  return { decisions, isHealthy: false, bookings: new Map(), waiting: [], lastWaitAtMs: -Infinity, output: createOutputModel(), tokensPerMs: INITIAL_TOKENS_PER_MS, lastRuns: new Map(), lastReportAtMs: 0 }
 }
 
 type EventOf<T extends LedgerEvent['type']> = Extract<LedgerEvent, { readonly type: T }>
@@ -46,50 +45,50 @@
     booking.confirm = { askedAtMs: event.atMs, untilMs: event.atMs + event.maxWaitMs }
     effects.push({ type: 'read_report' })
   },
-  memory_asked: (state, event, effects) => takeAsk(state, event.ask, event.atMs, effects),
+  memory_asked: (state, event, effects) => handleBookingRequest(state, event.ask, event.atMs, effects),
   released: (state, event) => { state.bookings.delete(event.bookingId) },
   report_failed: (state, _event, effects) => {
     state.isHealthy = false
-    giveUpWaiting(state, effects)
+    failPendingBookings(state, effects)
   },
   report_read: (state, event, effects) => {
-    if (isOld(event.askedAtMs, event.atMs)) return
+    if (isReportStale(event.askedAtMs, event.atMs)) return
     const incarnation = incarnationOf(state, event.report)
     if (incarnation === 'former') return
-    if (incarnation === 'new') forgetFormerIncarnation(state, effects)
-    takeReport(state, event.report, event.atMs)
-    confirmWaiting(state, event.askedAtMs, event.atMs, effects)
+    if (incarnation === 'new') dropPreviousIncarnation(state, effects)
+    applyReport(state, event.report, event.atMs)
+    answerConfirmations(state, event.askedAtMs, event.atMs, effects)
   },
   time_passed: () => {}
 }
 
 /**
- * Reduces one event.
+ * Applies one event to the state.
  *
  * @param state - changed in place; nothing else may change it
- * @param event - what happened
- * @returns effects in order
+ * @param event - the event to apply
+ * @returns effects in the order in which they are to be executed
  */
 export function reduceLedger (state: LedgerState, event: LedgerEvent): LedgerEffect[] {
   const effects: LedgerEffect[] = []
   const handle = HANDLERS[event.type] as Handler<LedgerEvent['type']>
   handle(state, event, effects)
-  dropUnseen(state, event.atMs)
-  grantWaiting(state, event.atMs, effects)
+  dropUnusedBookings(state, event.atMs)
+  grantPendingBookings(state, event.atMs, effects)
   return effects
 }
 
 /**
- * Load as entries see it.
+ * Returns the load of the replica in the form that entries receive.
  *
- * @param state - of the ledger
- * @param replicaId - id that the asker knows the replica by
- * @param nowMs - the time
+ * @param state - state of the ledger
+ * @param replicaId - id by which the requesting entry knows the replica
+ * @param nowMs - current time
  * @returns the load
  */
 export function loadOf (state: LedgerState, replicaId: string, nowMs: number): ReplicaLoad {
   const forecast = forecastOf(state, nowMs)
-  const waitingTokens = state.waiting.reduce((sum, ask) => sum + ask.promptTokens + expectedOutput(state, ask, 0), 0)
+  const waitingTokens = state.waiting.reduce((sum, pending) => sum + pending.promptTokens + expectedOutputTokens(state, pending, 0), 0)
   return {
     replicaId,
     stage: state.report?.isSwitching === true ? undefined : state.report?.stage,
--- a/packages/bendfall-router/src/ledger/BendfallRouterLedgerCrowd.ts
+++ b/packages/bendfall-router/src/ledger/BendfallRouterLedgerCrowd.ts
@@ -1,97 +1,97 @@
 /**
- * Crowds: while some that can be on time wait for a replica, late ones are refused
- * there and told to come back, since they would be held for nothing.
+ * Overload control. While requests that can still meet their latency target wait for a replica, late
+ * requests are rejected there with a retry delay, since holding them would not help.
  *
  * @module
  */
 import type { LedgerState, MemoryAsk, Waiting } from './BendfallRouterLedgerState.js'
 
 /**
- * Those that can be on time take all the room of a replica for which they have
- * waited this long: late ones are refused then, not held. With twice the load that
- * memory can bear this served 80 of 180 streams on time instead of 51 (virtual time);
- * 400 ms did the same.
+ * A replica is overloaded once requests that can meet their target have been waiting for it this
+ * long: they will take all of its memory, so late requests are rejected and not held. At twice
+ * the load that the memory supports, this served 80 of 180 streams on time instead of 51 (virtual
+ * time); 400 ms gave the same result.
  */
-const CROWDED_MS = 200
+const OVERLOAD_THRESHOLD_MS = 200
 
-/** It is crowded until none of them has waited or been refused for this long; 1 s served as many on time, 200 ms up to 14 of 180 fewer. */
-const CALM_MS = 400
+/** Overload ends when no request that can meet its target has waited or been rejected for this long. With 1 s as many streams were on time, with 200 ms up to 14 of 180 fewer. */
+const OVERLOAD_CLEAR_MS = 400
 
-/** A request that would be on time by less than this counts as late: first event, network, and a prefill that takes longer than foreseen. */
+/** A request that would meet its target by less than this counts as late; covers the first event, the network, and a prefill that takes longer than forecast. */
 const LATE_MARGIN_MS = 100
 
 /**
- * When an answer is due.
+ * Returns when the response is due.
  *
- * @param ask - one that waits
- * @returns the time
+ * @param pending - booking request that waits
+ * @returns the due time
  */
-export function dueMs ({ askedAtMs, targetMs }: Waiting): number {
+export function dueAtMs ({ askedAtMs, targetMs }: Waiting): number {
   return askedAtMs + targetMs
 }
 
 /**
- * Tells whether an answer can't be on time any more.
+ * Returns whether a request can no longer meet its latency target.
  *
- * @param ask - one that waits
- * @param nowMs - the time
- * @returns true for late ones
+ * @param pending - booking request that waits
+ * @param nowMs - current time
+ * @returns true for late requests
  */
-export function isLate (ask: Waiting, nowMs: number): boolean {
-  return dueMs(ask) < nowMs + ask.leadMs + LATE_MARGIN_MS
+export function isLate (pending: Waiting, nowMs: number): boolean {
+  return dueAtMs(pending) < nowMs + pending.leadMs + LATE_MARGIN_MS
 }
 
 /**
- * Notes who waits.
+ * Updates the start of the overload from the requests that are waiting.
  *
  * @param state - changed in place
- * @param nowMs - the time
+ * @param nowMs - current time
  */
-export function followCrowd (state: LedgerState, nowMs: number): void {
-  if (state.waiting.some((ask) => !isLate(ask, nowMs))) {
+export function updateOverload (state: LedgerState, nowMs: number): void {
+  if (state.waiting.some((pending) => !isLate(pending, nowMs))) {
     state.crowdedSinceMs ??= nowMs
     state.lastWaitAtMs = nowMs
-  } else if (nowMs - state.lastWaitAtMs > CALM_MS) {
+  } else if (nowMs - state.lastWaitAtMs > OVERLOAD_CLEAR_MS) {
     state.crowdedSinceMs = undefined
   }
 }
 
 /**
- * Tells whether late ones are refused.
+ * Returns whether late requests are to be rejected.
  *
- * @param state - of the ledger
- * @param nowMs - the time
- * @returns true at a crowded replica
+ * @param state - state of the ledger
+ * @param nowMs - current time
+ * @returns true while the replica is overloaded and the mechanism is enabled
  */
-export function isCrowded ({ crowdedSinceMs, decisions }: LedgerState, nowMs: number): boolean {
-  return decisions.crowd === 'refuse_late' && crowdedSinceMs !== undefined && nowMs - crowdedSinceMs > CROWDED_MS
+export function isOverloaded ({ crowdedSinceMs, decisions }: LedgerState, nowMs: number): boolean {
+  return decisions.crowd === 'refuse_late' && crowdedSinceMs !== undefined && nowMs - crowdedSinceMs > OVERLOAD_THRESHOLD_MS
 }
 
 /**
- * Longest wait for which an ask is held; at a crowded replica only as long as it can
- * be on time.
+ * Returns the maximum wait for which a booking request is held. At an overloaded replica it is held only as long as
+ * it can still meet its target.
  *
- * @param state - changed in place: an ask that could be on time prolongs the crowd
- * @param ask - the ask
- * @param nowMs - the time
+ * @param state - changed in place: a request that could meet its target prolongs the overload
+ * @param request - the booking request
+ * @param nowMs - current time
  * @returns milliseconds
  */
-export function longestDelayMs (state: LedgerState, ask: MemoryAsk, nowMs: number): number {
-  const onTimeMs = ask.targetMs - ask.leadMs - LATE_MARGIN_MS
-  if (onTimeMs > 0 && state.crowdedSinceMs !== undefined) state.lastWaitAtMs = nowMs
-  return isCrowded(state, nowMs) ? Math.min(ask.maxWaitMs, onTimeMs) : ask.maxWaitMs
+export function maxDelayMs (state: LedgerState, request: MemoryAsk, nowMs: number): number {
+  const maxOnTimeDelayMs = request.targetMs - request.leadMs - LATE_MARGIN_MS
+  if (maxOnTimeDelayMs > 0 && state.crowdedSinceMs !== undefined) state.lastWaitAtMs = nowMs
+  return isOverloaded(state, nowMs) ? Math.min(request.maxWaitMs, maxOnTimeDelayMs) : request.maxWaitMs
 }
 
 /**
- * Time after which a refused caller should come back. The longer a replica has been
- * crowded, the longer it is likely to stay so.
+ * Returns the retry delay for a rejected caller. The longer a replica has been overloaded, the longer it is
+ * likely to stay so.
  *
- * @param state - of the ledger
- * @param delayMs - foreseen wait
- * @param nowMs - the time
+ * @param state - state of the ledger
+ * @param delayMs - forecast wait for memory or a slot
+ * @param nowMs - current time
  * @returns milliseconds
  */
 export function retryAfterMs ({ crowdedSinceMs }: LedgerState, delayMs: number, nowMs: number): number {
-  const crowdedMs = crowdedSinceMs === undefined ? 0 : nowMs - crowdedSinceMs
-  return Math.max(delayMs, 2 * crowdedMs)
+  const overloadedMs = crowdedSinceMs === undefined ? 0 : nowMs - crowdedSinceMs
+  return Math.max(delayMs, 2 * overloadedMs)
 }
--- a/packages/bendfall-router/src/ledger/BendfallRouterLedgerMemory.ts
+++ b/packages/bendfall-router/src/ledger/BendfallRouterLedgerMemory.ts
@@ -1,103 +1,103 @@
 /**
- * Memory of a replica as its ledger sees it: free now, and foreseen.
+ * Memory of a replica as seen by its ledger: free now, and forecast.
  *
  * @module
  */
-import type { Forecast, Occupant } from './BendfallRouterForecast.js'
+import type { Allocation, Forecast } from './BendfallRouterForecast.js'
 import type { Booking, LedgerState, MemoryAsk, ReportedRun } from './BendfallRouterLedgerState.js'
 import { expectOutput } from './BendfallRouterOutputModel.js'
 
-/** Growth of the running answers for which room is kept: within it one of a dozen answers of three seconds ends. */
-const HEADROOM_MS = 400
+/** Duration of the growth of running requests for which memory is kept free. Of a dozen outputs of three seconds each, one ends within it. */
+const GROWTH_HEADROOM_MS = 400
 
-/** Share of memory that is kept free for answers longer than expected. */
-const MARGIN_SHARE = 0.03
+/** Share of the memory that is kept free for outputs longer than predicted. */
+const RESERVED_MEMORY_SHARE = 0.03
 
-/** Output that a run without a booking is given on top of what it has. */
-const UNKNOWN_TOKENS = 300
+/** Further output assumed for a run without a booking. */
+const UNBOOKED_OUTPUT_TOKENS = 300
 
 /**
- * Memory that is free already and promised to nobody. When a running answer will
- * end is too uncertain to read a prompt for the memory that it will free: of 640
- * prompts read on such a promise 113 found the memory occupied when their result
- * lapsed, on a calm day near full load.
+ * Returns the memory that is free now and not booked. Memory that running requests will release is not
+ * counted: their end is too uncertain to prefill a prompt for it. Of 640 prompts prefilled on
+ * that expectation, 113 found the memory still occupied when their prefill result expired (calm day,
+ * near full load).
  *
- * @param state - of the ledger
- * @param nowMs - the time
- * @returns tokens; negative when more is promised than free
+ * @param state - state of the ledger
+ * @param nowMs - current time
+ * @returns tokens; negative if more is booked than free
  */
 export function freeTokens (state: LedgerState, nowMs: number): number {
   const { report } = state
   if (report === undefined) return 0
-  const growth = state.lastRuns.size * state.tokensPerMs * (nowMs - state.lastReportAtMs + HEADROOM_MS)
-  let promised = 0
+  const growthTokens = state.lastRuns.size * state.tokensPerMs * (nowMs - state.lastReportAtMs + GROWTH_HEADROOM_MS)
+  let bookedTokens = 0
   for (const { promptTokens, requestId } of state.bookings.values()) {
-    if (!state.lastRuns.has(requestId)) promised += promptTokens
+    if (!state.lastRuns.has(requestId)) bookedTokens += promptTokens
   }
-  return report.capacityTokens - report.usedTokens - promised - growth
+  return report.capacityTokens - report.usedTokens - bookedTokens - growthTokens
 }
 
 /**
- * Foresees the memory of what runs, was granted or waits.
+ * Forecasts the memory of running, granted and waiting requests.
  *
- * @param state - of the ledger
- * @param nowMs - the time
+ * @param state - state of the ledger
+ * @param nowMs - current time
  * @returns the forecast
  */
-export function forecastWithWaiting (state: LedgerState, nowMs: number): Forecast {
+export function forecastWithPending (state: LedgerState, nowMs: number): Forecast {
   const forecast = forecastOf(state, nowMs)
-  return { ...forecast, occupants: [...forecast.occupants, ...state.waiting.map((ask) => toOccupant(state, ask, nowMs))] }
+  return { ...forecast, occupants: [...forecast.occupants, ...state.waiting.map((pending) => toAllocation(state, pending, nowMs))] }
 }
 
 /**
- * Foresees the memory of what runs and of what was granted.
+ * Forecasts the memory of running and granted requests.
  *
- * @param state - of the ledger
- * @param nowMs - the time
+ * @param state - state of the ledger
+ * @param nowMs - current time
  * @returns the forecast
  */
 export function forecastOf (state: LedgerState, nowMs: number): Forecast {
-  const capacityTokens = Math.floor((state.report?.capacityTokens ?? 0) * (1 - MARGIN_SHARE))
+  const capacityTokens = Math.floor((state.report?.capacityTokens ?? 0) * (1 - RESERVED_MEMORY_SHARE))
   const bookings = [...state.bookings.values()]
   const byRequest = new Map(bookings.map((booking) => [booking.requestId, booking]))
-  const runs = [...state.lastRuns.values()].map((run) => runOccupant(state, run, byRequest.get(run.requestId)))
-  const expected = bookings
+  const runs = [...state.lastRuns.values()].map((run) => runAllocation(state, run, byRequest.get(run.requestId)))
+  const granted = bookings
     .filter(({ requestId }) => !state.lastRuns.has(requestId))
-    .map((booking) => toOccupant(state, booking, Math.max(nowMs - booking.leadMs, booking.grantedAtMs)))
-  return { nowMs, capacityTokens, occupants: [...runs, ...expected] }
+    .map((booking) => toAllocation(state, booking, Math.max(nowMs - booking.leadMs, booking.grantedAtMs)))
+  return { nowMs, capacityTokens, occupants: [...runs, ...granted] }
 }
 
-function runOccupant (state: LedgerState, run: ReportedRun, booking: Booking | undefined): Occupant {
+function runAllocation (state: LedgerState, run: ReportedRun, booking: Booking | undefined): Allocation {
   const endTokens = booking === undefined
-    ? run.tokensInMemory + UNKNOWN_TOKENS
-    : booking.promptTokens + expectedOutput(state, booking, run.tokensInMemory - booking.promptTokens)
+    ? run.tokensInMemory + UNBOOKED_OUTPUT_TOKENS
+    : booking.promptTokens + expectedOutputTokens(state, booking, run.tokensInMemory - booking.promptTokens)
   const endMs = state.lastReportAtMs + (endTokens - run.tokensInMemory) / state.tokensPerMs
   return { startMs: state.lastReportAtMs, endMs, startTokens: run.tokensInMemory, endTokens }
 }
 
 /**
- * Memory of a request that does not run yet.
+ * Returns the memory of a request that does not run yet.
  *
- * @param state - of the ledger
- * @param ask - the request
- * @param fromMs - when its prompt begins to be read
+ * @param state - state of the ledger
+ * @param request - booking request or booking
+ * @param fromMs - when its prompt starts to be prefilled
  * @returns its memory over time
  */
-export function toOccupant (state: LedgerState, ask: MemoryAsk, fromMs: number): Occupant {
-  const startMs = fromMs + ask.leadMs
-  const outputTokens = expectedOutput(state, ask, 0)
-  return { startMs, endMs: startMs + outputTokens / state.tokensPerMs, startTokens: ask.promptTokens, endTokens: ask.promptTokens + outputTokens }
+export function toAllocation (state: LedgerState, request: MemoryAsk, fromMs: number): Allocation {
+  const startMs = fromMs + request.leadMs
+  const outputTokens = expectedOutputTokens(state, request, 0)
+  return { startMs, endMs: startMs + outputTokens / state.tokensPerMs, startTokens: request.promptTokens, endTokens: request.promptTokens + outputTokens }
 }
 
 /**
- * Expects the length of an answer.
+ * Returns the expected output length of a request.
  *
- * @param state - of the ledger
- * @param ask - the request
- * @param madeTokens - made so far
- * @returns tokens in the end
+ * @param state - state of the ledger
+ * @param request - booking request or booking
+ * @param generatedTokens - output generated so far
+ * @returns total output in tokens
  */
-export function expectedOutput (state: LedgerState, ask: MemoryAsk, madeTokens: number): number {
-  if (state.decisions.outputs === 'hinted') return Math.max(madeTokens, Math.min(ask.hintTokens, ask.maxOutputTokens))
-  return expectOutput(state.output, ask.hintTokens, ask.maxOutputTokens, madeTokens)
+export function expectedOutputTokens (state: LedgerState, request: MemoryAsk, generatedTokens: number): number {
+  if (state.decisions.outputs === 'hinted') return Math.max(generatedTokens, Math.min(request.hintTokens, request.maxOutputTokens))
+  return expectOutput(state.output, request.hintTokens, request.maxOutputTokens, generatedTokens)
 }
--- a/packages/bendfall-router/src/ledger/BendfallRouterLedgerQueue.ts
+++ b/packages/bendfall-router/src/ledger/BendfallRouterLedgerQueue.ts
@@ -1,56 +1,56 @@
 /**
- * The queue of one replica: who waits for memory or for a slot, in which order it is
- * granted, and who is refused.
+ * The queue of one replica: which requests wait for memory or for a slot, in which order they are
+ * granted, and which are rejected.
  *
  * @module
  */
 import { delayUntilFit, fits } from './BendfallRouterForecast.js'
-import { dueMs, followCrowd, isCrowded, isLate, longestDelayMs, retryAfterMs } from './BendfallRouterLedgerCrowd.js'
-import { forecastOf, forecastWithWaiting, freeTokens, toOccupant } from './BendfallRouterLedgerMemory.js'
-import { isOld } from './BendfallRouterLedgerReport.js'
-import { canRead, hasSlot, isPrefill, slotDelayMs } from './BendfallRouterLedgerSlots.js'
+import { dueAtMs, isLate, isOverloaded, maxDelayMs, retryAfterMs, updateOverload } from './BendfallRouterLedgerCrowd.js'
+import { forecastOf, forecastWithPending, freeTokens, toAllocation } from './BendfallRouterLedgerMemory.js'
+import { isReportStale } from './BendfallRouterLedgerReport.js'
+import { canPrefill, hasSlot, isPrefill, slotDelayMs } from './BendfallRouterLedgerSlots.js'
 import type { LedgerEffect, LedgerState, MemoryAsk, Waiting } from './BendfallRouterLedgerState.js'
 
-/** A slot at a prefill replica is kept this long for a request that books its memory: a call between instances and a margin. */
-const SLOT_KEPT_MS = 60
+/** How long a slot at a prefill replica is held for a request that books its decode memory: one call between instances and a margin. */
+const SLOT_HOLD_MS = 60
 
 /**
- * Takes an ask: it waits, or is refused at once.
+ * Queues a booking request, or rejects it at once.
  *
  * @param state - changed in place
- * @param ask - the ask
- * @param nowMs - the time
- * @param effects - answers are added
+ * @param request - the booking request
+ * @param nowMs - current time
+ * @param effects - receives the responses
  */
-export function takeAsk (state: LedgerState, ask: MemoryAsk, nowMs: number, effects: LedgerEffect[]): void {
-  const known = state.bookings.get(ask.bookingId)
-  if (known !== undefined) {
-    state.bookings.set(ask.bookingId, { ...known, grantedAtMs: nowMs, slotUntilMs: undefined })
-    effects.push({ type: 'answer', bookingId: ask.bookingId, isGranted: true, retryAfterMs: 0 })
+export function handleBookingRequest (state: LedgerState, request: MemoryAsk, nowMs: number, effects: LedgerEffect[]): void {
+  const existing = state.bookings.get(request.bookingId)
+  if (existing !== undefined) {
+    state.bookings.set(request.bookingId, { ...existing, grantedAtMs: nowMs, slotUntilMs: undefined })
+    effects.push({ type: 'answer', bookingId: request.bookingId, isGranted: true, retryAfterMs: 0 })
     return
   }
   if (state.report !== undefined && !state.isHealthy) {
-    effects.push({ type: 'replica_lost', bookingId: ask.bookingId })
+    effects.push({ type: 'replica_lost', bookingId: request.bookingId })
     return
   }
-  if (isPrefill(state) && ask.maxWaitMs === 0) {
-    // The prompt is read already: the booking only shows it to other entries.
-    grant(state, { ...ask, askedAtMs: nowMs }, nowMs, effects, undefined)
+  if (isPrefill(state) && request.maxWaitMs === 0) {
+    // The prompt is already prefilled: the booking only makes it visible to other entries.
+    grant(state, { ...request, askedAtMs: nowMs }, nowMs, effects, undefined)
     return
   }
-  const delayMs = isPrefill(state) ? slotDelayMs(state) : delayUntilFit(forecastWithWaiting(state, nowMs), toOccupant(state, ask, nowMs))
-  if (delayMs > longestDelayMs(state, ask, nowMs)) refuse(state, ask, delayMs, nowMs, effects)
-  else state.waiting.push({ ...ask, askedAtMs: nowMs })
+  const delayMs = isPrefill(state) ? slotDelayMs(state) : delayUntilFit(forecastWithPending(state, nowMs), toAllocation(state, request, nowMs))
+  if (delayMs > maxDelayMs(state, request, nowMs)) refuse(state, request, delayMs, nowMs, effects)
+  else state.waiting.push({ ...request, askedAtMs: nowMs })
 }
 
 /**
- * Gives up those that wait for a replica that is lost: they were held up to 2.8 s and
- * refused by its last report, while other replicas had room.
+ * Fails the pending bookings and confirmations of a replica that is lost. They used to be held for up to
+ * 2.8 s and rejected based on its last report, while other replicas had free memory.
  *
  * @param state - changed in place
- * @param effects - answers are added
+ * @param effects - receives the responses
  */
-export function giveUpWaiting (state: LedgerState, effects: LedgerEffect[]): void {
+export function failPendingBookings (state: LedgerState, effects: LedgerEffect[]): void {
   for (const { bookingId } of state.waiting) effects.push({ type: 'replica_lost', bookingId })
   state.waiting = []
   for (const booking of state.bookings.values()) {
@@ -61,50 +61,49 @@
 }
 
 /**
- * Grants what there is room for: the most important first; then those that can still
- * be on time, the one that is due first before the others; then those that are late,
- * in their order.
+ * Grants pending bookings as far as capacity permits: by priority; then requests that can
+ * still meet their target, by due time; then late requests, in the same order.
  *
  * @param state - changed in place
- * @param nowMs - the time
- * @param effects - answers are added
+ * @param nowMs - current time
+ * @param effects - receives the responses
  */
-export function grantWaiting (state: LedgerState, nowMs: number, effects: LedgerEffect[]): void {
-  const left: Waiting[] = []
-  const isUnsure = state.report !== undefined && isOld(state.lastReportAtMs, nowMs)
-  if (isUnsure && state.waiting.length > 0) effects.push({ type: 'read_report' })
-  for (const ask of inOrder(state, nowMs)) {
-    const isBlocked = isUnsure || left.length > 0
-    if (!isBlocked && hasRoom(state, ask, nowMs)) grant(state, ask, nowMs, effects, isPrefill(state) ? nowMs + SLOT_KEPT_MS : undefined)
-    else if (isOver(state, ask, nowMs)) refuse(state, ask, 0, nowMs, effects)
-    else left.push(ask)
+export function grantPendingBookings (state: LedgerState, nowMs: number, effects: LedgerEffect[]): void {
+  const remaining: Waiting[] = []
+  const isStale = state.report !== undefined && isReportStale(state.lastReportAtMs, nowMs)
+  if (isStale && state.waiting.length > 0) effects.push({ type: 'read_report' })
+  for (const pending of sortPendingBookings(state, nowMs)) {
+    const isBlocked = isStale || remaining.length > 0
+    if (!isBlocked && hasCapacity(state, pending, nowMs)) grant(state, pending, nowMs, effects, isPrefill(state) ? nowMs + SLOT_HOLD_MS : undefined)
+    else if (mustRefuse(state, pending, nowMs)) refuse(state, pending, 0, nowMs, effects)
+    else remaining.push(pending)
   }
-  state.waiting = left
-  followCrowd(state, nowMs)
+  state.waiting = remaining
+  updateOverload(state, nowMs)
 }
 
-function inOrder ({ decisions, waiting }: LedgerState, nowMs: number): Waiting[] {
-  const lateRank = (ask: Waiting): number => decisions.late === 'behind' && isLate(ask, nowMs) ? 1 : 0
-  const orderMs = decisions.queueOrder === 'due_first' ? dueMs : ({ askedAtMs }: Waiting) => askedAtMs
+function sortPendingBookings ({ decisions, waiting }: LedgerState, nowMs: number): Waiting[] {
+  const lateRank = (pending: Waiting): number => decisions.late === 'behind' && isLate(pending, nowMs) ? 1 : 0
+  const orderMs = decisions.queueOrder === 'due_first' ? dueAtMs : ({ askedAtMs }: Waiting) => askedAtMs
   return [...waiting].sort((a, b) => a.priority - b.priority || lateRank(a) - lateRank(b) || orderMs(a) - orderMs(b))
 }
 
-function isOver (state: LedgerState, ask: Waiting, nowMs: number): boolean {
-  return nowMs >= ask.askedAtMs + ask.maxWaitMs || (isCrowded(state, nowMs) && isLate(ask, nowMs))
+function mustRefuse (state: LedgerState, pending: Waiting, nowMs: number): boolean {
+  return nowMs >= pending.askedAtMs + pending.maxWaitMs || (isOverloaded(state, nowMs) && isLate(pending, nowMs))
 }
 
-function grant (state: LedgerState, ask: Waiting, nowMs: number, effects: LedgerEffect[], slotUntilMs: number | undefined): void {
-  state.bookings.set(ask.bookingId, { ...ask, grantedAtMs: nowMs, slotUntilMs })
-  effects.push({ type: 'answer', bookingId: ask.bookingId, isGranted: true, retryAfterMs: 0 })
+function grant (state: LedgerState, pending: Waiting, nowMs: number, effects: LedgerEffect[], slotUntilMs: number | undefined): void {
+  state.bookings.set(pending.bookingId, { ...pending, grantedAtMs: nowMs, slotUntilMs })
+  effects.push({ type: 'answer', bookingId: pending.bookingId, isGranted: true, retryAfterMs: 0 })
 }
 
 function refuse (state: LedgerState, { bookingId }: MemoryAsk, delayMs: number, nowMs: number, effects: LedgerEffect[]): void {
   effects.push({ type: 'answer', bookingId, isGranted: false, retryAfterMs: retryAfterMs(state, delayMs, nowMs) })
 }
 
-function hasRoom (state: LedgerState, ask: Waiting, nowMs: number): boolean {
-  if (isPrefill(state)) return hasSlot(state, ask)
-  if (ask.readsInPlace && !canRead(state, ask)) return false
-  if (freeTokens(state, nowMs) < ask.promptTokens) return false
-  return state.decisions.room === 'free_now' || fits(forecastOf(state, nowMs), toOccupant(state, ask, nowMs))
+function hasCapacity (state: LedgerState, pending: Waiting, nowMs: number): boolean {
+  if (isPrefill(state)) return hasSlot(state, pending)
+  if (pending.readsInPlace && !canPrefill(state, pending)) return false
+  if (freeTokens(state, nowMs) < pending.promptTokens) return false
+  return state.decisions.room === 'free_now' || fits(forecastOf(state, nowMs), toAllocation(state, pending, nowMs))
 }
--- a/packages/bendfall-router/src/ledger/BendfallRouterLedgerReport.ts
+++ b/packages/bendfall-router/src/ledger/BendfallRouterLedgerReport.ts
@@ -1,36 +1,36 @@
 /**
- * What a ledger learns from the reports of its replica: which bookings run or ended,
- * how fast answers grow, and what is free for those that wait with their prompt read.
+ * Updates a ledger from the reports of its replica: which bookings run or have ended, how fast
+ * outputs grow, and whether memory is free for requests whose prompt has been prefilled.
  *
  * @module
  */
 import type { Booking, LedgerEffect, LedgerState, ReplicaReport, ReportedRun } from './BendfallRouterLedgerState.js'
 import { learnOutput } from './BendfallRouterOutputModel.js'
 
-/** A booking whose run the replica does not report is dropped this long after its memory was due: its entry is gone. */
-const UNSEEN_MS = 1_500
+/** A booking whose run the replica does not report is dropped this long after its memory was to be used: its entry is presumed gone. */
+const UNREPORTED_BOOKING_TTL_MS = 1_500
 
-/** Weight of the newest reading in the learned speed. */
-const SPEED_WEIGHT = 0.1
+/** Weight of the newest sample in the moving average of the output rate. */
+const RATE_SAMPLE_WEIGHT = 0.1
 
-/** A request is reported this soon after it was sent: network, transfer and one step. */
-const ON_THE_WAY_MS = 150
+/** Time after sending within which the replica reports a request: network, transfer and one step. */
+const IN_TRANSIT_MS = 150
 
-/** Growth of the other requests until a request arrives: a block for each of a dozen runs. */
-const GROWTH_TOKENS = 192
+/** Growth of the other requests while a request is in transit: one block for each of a dozen runs. */
+const IN_TRANSIT_GROWTH_TOKENS = 192
 
-/** Which run of the replica's process a report tells of, against that of the last report. */
+/** Incarnation of the replica's process in a report, compared with that in the last report. */
 export type ReportIncarnation = 'same' | 'new' | 'former'
 
-/** Reports of an idle replica are 300 ms apart, and one that is 400 ms late has failed. */
-const OLD_REPORT_MS = 1_000
+/** A report older than this is stale: reports of an idle replica are 300 ms apart, and a report call times out after 400 ms. */
+const MAX_REPORT_AGE_MS = 1_000
 
 /**
  * Compares the incarnation of a report with that of the last one.
  *
- * @param state - of the ledger
- * @param report - of the replica
- * @returns `same` where the platform does not tell the start of replicas
+ * @param state - state of the ledger
+ * @param report - new report of the replica
+ * @returns `same` if the platform does not report when replicas started
  */
 export function incarnationOf (state: LedgerState, { startedAtMs }: ReplicaReport): ReportIncarnation {
   const knownAtMs = state.report?.startedAtMs
@@ -39,13 +39,13 @@
 }
 
 /**
- * Forgets what was booked with a process that has ended: a replica that starts again
- * under its id holds nothing of before. Those that wait go on waiting for the new one.
+ * Drops the bookings of a process that has ended, since a replica that restarts under the same id
+ * holds none of their memory. Pending bookings keep waiting for the new process.
  *
  * @param state - changed in place
- * @param effects - refusals of confirmations are added
+ * @param effects - receives negative responses to pending confirmations
  */
-export function forgetFormerIncarnation (state: LedgerState, effects: LedgerEffect[]): void {
+export function dropPreviousIncarnation (state: LedgerState, effects: LedgerEffect[]): void {
   for (const { bookingId, confirm } of state.bookings.values()) {
     if (confirm !== undefined) effects.push({ type: 'confirmed', bookingId, isFree: false })
   }
@@ -54,15 +54,15 @@
 }
 
 /**
- * Takes a report.
+ * Applies a report.
  *
  * @param state - changed in place
- * @param report - of the replica
- * @param nowMs - the time
+ * @param report - new report of the replica
+ * @param nowMs - current time
  */
-export function takeReport (state: LedgerState, report: ReplicaReport, nowMs: number): void {
+export function applyReport (state: LedgerState, report: ReplicaReport, nowMs: number): void {
   const runs = new Map(report.runs.map((run) => [run.requestId, run]))
-  learnSpeed(state, runs, nowMs)
+  updateOutputRate(state, runs, nowMs)
   for (const booking of state.bookings.values()) {
     if (runs.has(booking.requestId)) booking.seenAtMs ??= nowMs
     else if (booking.seenAtMs !== undefined) endBooking(state, booking)
@@ -75,38 +75,38 @@
 
 function endBooking (state: LedgerState, booking: Booking): void {
   const last = state.lastRuns.get(booking.requestId)
-  // What the replica reported last is short of the end by a report's age at most.
+  // The last reported length is short of the final one by the output of at most one report's age.
   if (last !== undefined) state.output = learnOutput(state.output, booking.hintTokens, last.tokensInMemory - booking.promptTokens)
   state.bookings.delete(booking.bookingId)
 }
 
-function learnSpeed (state: LedgerState, runs: ReadonlyMap<string, ReportedRun>, nowMs: number): void {
+function updateOutputRate (state: LedgerState, runs: ReadonlyMap<string, ReportedRun>, nowMs: number): void {
   const elapsedMs = nowMs - state.lastReportAtMs
   for (const [requestId, run] of runs) {
-    const before = state.lastRuns.get(requestId)
-    if (before === undefined || before.eventsMade === 0 || elapsedMs <= 0) continue
-    const grown = run.tokensInMemory - before.tokensInMemory
-    if (grown > 0) state.tokensPerMs += SPEED_WEIGHT * (grown / elapsedMs - state.tokensPerMs)
+    const previous = state.lastRuns.get(requestId)
+    if (previous === undefined || previous.eventsMade === 0 || elapsedMs <= 0) continue
+    const growthTokens = run.tokensInMemory - previous.tokensInMemory
+    if (growthTokens > 0) state.tokensPerMs += RATE_SAMPLE_WEIGHT * (growthTokens / elapsedMs - state.tokensPerMs)
   }
 }
 
 /**
- * Confirms bookings whose memory is free at the replica, in the order in which it was
- * granted. Only a report that was asked for after the confirmation shows what is free then.
+ * Responds to pending confirmations, in the order in which the bookings were granted. Memory counts as
+ * free only by a report that was requested after the confirmation was.
  *
  * @param state - changed in place
- * @param reportAskedAtMs - when the last report was asked for
- * @param nowMs - the time
- * @param effects - answers are added
+ * @param reportAskedAtMs - when the last report was requested
+ * @param nowMs - current time
+ * @param effects - receives the responses
  */
-export function confirmWaiting (state: LedgerState, reportAskedAtMs: number, nowMs: number, effects: LedgerEffect[]): void {
+export function answerConfirmations (state: LedgerState, reportAskedAtMs: number, nowMs: number, effects: LedgerEffect[]): void {
   const { report } = state
   if (report === undefined) return
-  let freeTokens = report.capacityTokens - report.usedTokens - onTheWayTokens(state, nowMs)
+  let freeTokens = report.capacityTokens - report.usedTokens - inTransitTokens(state, nowMs)
   for (const booking of state.bookings.values()) {
     const { confirm } = booking
     if (confirm === undefined) continue
-    const isFree = confirm.askedAtMs <= reportAskedAtMs && freeTokens >= booking.promptTokens + GROWTH_TOKENS
+    const isFree = confirm.askedAtMs <= reportAskedAtMs && freeTokens >= booking.promptTokens + IN_TRANSIT_GROWTH_TOKENS
     if (!isFree && nowMs < confirm.untilMs) {
       freeTokens -= booking.promptTokens
       continue
@@ -120,39 +120,39 @@
   }
 }
 
-// Memory of requests that were sent and that the replica does not report yet.
-function onTheWayTokens (state: LedgerState, nowMs: number): number {
+// Memory of requests that were sent but are not reported by the replica yet.
+function inTransitTokens (state: LedgerState, nowMs: number): number {
   let tokens = 0
   for (const { confirmedAtMs, promptTokens, requestId } of state.bookings.values()) {
-    const isOnTheWay = confirmedAtMs !== undefined && nowMs - confirmedAtMs < ON_THE_WAY_MS && !state.lastRuns.has(requestId)
-    if (isOnTheWay) tokens += promptTokens
+    const isInTransit = confirmedAtMs !== undefined && nowMs - confirmedAtMs < IN_TRANSIT_MS && !state.lastRuns.has(requestId)
+    if (isInTransit) tokens += promptTokens
   }
   return tokens
 }
 
 /**
- * Tells whether what was learned of the replica is too old to grant memory by. A process
- * that stood still finds the answer of before in its connection, and asks of entries that
- * have given up.
+ * Returns whether the latest information from the replica is too old to grant memory by it. A process that
+ * was suspended first reads responses from before the pause in its connection, and booking requests of
+ * entries that have given up since.
  *
- * @param learnedAtMs - when the replica was asked
- * @param nowMs - the time
- * @returns true when only a fresh report may decide
+ * @param learnedAtMs - when the information was requested or received
+ * @param nowMs - current time
+ * @returns true if only a fresh report may decide
  */
-export function isOld (learnedAtMs: number, nowMs: number): boolean {
-  return nowMs - learnedAtMs > OLD_REPORT_MS
+export function isReportStale (learnedAtMs: number, nowMs: number): boolean {
+  return nowMs - learnedAtMs > MAX_REPORT_AGE_MS
 }
 
 /**
- * Drops bookings whose run the replica never showed, and slots that were not used.
+ * Drops bookings whose run the replica never reported, and prefill slots that were not used in time.
  *
  * @param state - changed in place
- * @param nowMs - the time
+ * @param nowMs - current time
  */
-export function dropUnseen (state: LedgerState, nowMs: number): void {
+export function dropUnusedBookings (state: LedgerState, nowMs: number): void {
   for (const booking of state.bookings.values()) {
     if (booking.slotUntilMs !== undefined && nowMs > booking.slotUntilMs) state.bookings.delete(booking.bookingId)
     const dueAtMs = booking.confirmedAtMs ?? booking.grantedAtMs + booking.leadMs
-    if (nowMs > dueAtMs + UNSEEN_MS && booking.seenAtMs === undefined && booking.confirm === undefined) state.bookings.delete(booking.bookingId)
+    if (nowMs > dueAtMs + UNREPORTED_BOOKING_TTL_MS && booking.seenAtMs === undefined && booking.confirm === undefined) state.bookings.delete(booking.bookingId)
   }
 }
--- a/packages/bendfall-router/src/ledger/BendfallRouterLedgerSlots.ts
+++ b/packages/bendfall-router/src/ledger/BendfallRouterLedgerSlots.ts
@@ -1,6 +1,6 @@
 /**
- * Prompts at one replica: those that a prefill replica has, and those that a
- * decode replica reads itself.
+ * Prompts at one replica: those assigned to a prefill replica, and those that a decode replica
+ * prefills itself.
  *
  * @module
  */
@@ -8,26 +8,26 @@
 import { isLate } from './BendfallRouterLedgerCrowd.js'
 
 /**
- * Prompts that a prefill replica is given at once: two and a half of the users'
- * mean prompt. More wait in the ledger, where the order is by due time: in bursts
- * of a calm day four lay at each replica, 600 ms each, with their decode memory
- * booked and unused.
+ * Prompt tokens assigned to a prefill replica at a time: two and a half times the users' mean
+ * prompt. Further prompts wait in the ledger, which orders them by due time. In bursts of a calm
+ * day, four prompts waited at each replica for 600 ms each while their decode memory was booked
+ * and unused.
  */
-const PREFILL_SLOT_TOKENS = 8_000
+const MAX_PREFILL_SLOT_TOKENS = 8_000
 
 /**
- * Prompts that a decode replica reads itself at once. It reads them one after the
- * other, so that a second one only keeps memory that nobody uses yet.
+ * Prompt tokens that a decode replica prefills itself at a time. It processes prompts one after
+ * the other, so that a second one only holds memory that is not used yet.
  */
-const IN_PLACE_TOKENS = 4_000
+const MAX_IN_PLACE_TOKENS = 4_000
 
-/** Time to read a prompt token with all that comes with a prompt: 140 ms for 3,200 tokens at a busy replica. */
-const READ_MS_PER_TOKEN = 0.045
+/** Time to prefill one prompt token, including the overhead of a prompt: 140 ms for 3,200 tokens at a busy replica. */
+const PREFILL_MS_PER_TOKEN = 0.045
 
 /**
- * Tells whether the replica reads prompts for others.
+ * Returns whether the replica prefills prompts for decode replicas.
  *
- * @param state - of the ledger
+ * @param state - state of the ledger
  * @returns true for prefill replicas
  */
 export function isPrefill ({ report }: LedgerState): boolean {
@@ -35,52 +35,52 @@
 }
 
 /**
- * Tells whether a prefill replica may be given another prompt.
+ * Returns whether a prefill replica may be assigned another prompt.
  *
- * @param state - of the ledger
- * @param ask - the prompt
- * @returns true when it has room for it, or nothing else to do
+ * @param state - state of the ledger
+ * @param request - booking request of the prompt
+ * @returns true if the prompt fits the limit, or nothing else is booked
  */
 export function hasSlot (state: LedgerState, { promptTokens }: MemoryAsk): boolean {
-  return state.bookings.size === 0 || bookedTokens(state) + promptTokens <= PREFILL_SLOT_TOKENS
+  return state.bookings.size === 0 || bookedTokens(state) + promptTokens <= MAX_PREFILL_SLOT_TOKENS
 }
 
 /**
- * Foresees when a prefill replica may be given another prompt behind those that wait.
+ * Forecasts when a prefill replica may be assigned another prompt after those that wait.
  *
- * @param state - of the ledger
- * @returns milliseconds
+ * @param state - state of the ledger
+ * @returns delay in milliseconds
  */
 export function slotDelayMs (state: LedgerState): number {
   const waitingTokens = state.waiting.reduce((sum, { promptTokens }) => sum + promptTokens, 0)
-  return Math.max(0, bookedTokens(state) + waitingTokens - PREFILL_SLOT_TOKENS) * READ_MS_PER_TOKEN
+  return Math.max(0, bookedTokens(state) + waitingTokens - MAX_PREFILL_SLOT_TOKENS) * PREFILL_MS_PER_TOKEN
 }
 
 /**
- * Tokens of prompts that a new one finds before it.
+ * Returns the prompt tokens that would be processed before those of a new prompt.
  *
- * @param state - of the ledger
- * @param nowMs - the time
+ * @param state - state of the ledger
+ * @param nowMs - current time
  * @returns tokens
  */
 export function backlogTokens (state: LedgerState, nowMs: number): number {
-  return isPrefill(state) ? bookedTokens(state) + aheadTokens(state.waiting, nowMs) : readingTokens(state)
+  return isPrefill(state) ? bookedTokens(state) + aheadTokens(state.waiting, nowMs) : prefillingTokens(state)
 }
 
 /**
- * Tells whether a decode replica may begin to read a prompt itself.
+ * Returns whether a decode replica may start to prefill a prompt itself.
  *
- * @param state - of the ledger
- * @param ask - the prompt
- * @returns true when it reads no other one, or both are short
+ * @param state - state of the ledger
+ * @param request - booking request of the prompt
+ * @returns true if it prefills no other prompt, or both are short
  */
-export function canRead (state: LedgerState, { promptTokens }: MemoryAsk): boolean {
-  const underWayTokens = readingTokens(state)
-  return underWayTokens === 0 || underWayTokens + promptTokens <= IN_PLACE_TOKENS
+export function canPrefill (state: LedgerState, { promptTokens }: MemoryAsk): boolean {
+  const activeTokens = prefillingTokens(state)
+  return activeTokens === 0 || activeTokens + promptTokens <= MAX_IN_PLACE_TOKENS
 }
 
-// A prompt is read when its request has made an event.
-function readingTokens ({ bookings, lastRuns }: LedgerState): number {
+// The prefill of a prompt is complete when its request has produced an event.
+function prefillingTokens ({ bookings, lastRuns }: LedgerState): number {
   let tokens = 0
   for (const { promptTokens, readsInPlace, requestId } of bookings.values()) {
     if (readsInPlace && (lastRuns.get(requestId)?.eventsMade ?? 0) === 0) tokens += promptTokens
@@ -94,7 +94,7 @@
   return tokens
 }
 
-// Late requests wait behind a new one.
+// Late requests wait behind a new one and don't count.
 function aheadTokens (waiting: readonly Waiting[], nowMs: number): number {
-  return waiting.reduce((sum, ask) => isLate(ask, nowMs) ? sum : sum + ask.promptTokens, 0)
+  return waiting.reduce((sum, pending) => isLate(pending, nowMs) ? sum : sum + pending.promptTokens, 0)
 }
--- a/packages/bendfall-router/src/ledger/BendfallRouterLedgerState.ts
+++ b/packages/bendfall-router/src/ledger/BendfallRouterLedgerState.ts
@@ -7,62 +7,62 @@
 import type { RouterDecisions } from '../BendfallRouterDecisions.js'
 import type { OutputModel } from './BendfallRouterOutputModel.js'
 
-/** A request that the replica reports. */
+/** A running request in a report of the replica. */
 export interface ReportedRun {
   readonly requestId: string
   readonly tokensInMemory: number
   readonly eventsMade: number
 }
 
-/** What the replica reports of itself. */
+/** Status report of the replica. */
 export interface ReplicaReport {
-  /** Start of the replica's process, Unix time; absent where the platform does not tell it. */
+  /** Start of the replica's process in Unix time; absent if the platform does not report it. */
   readonly startedAtMs?: number
   readonly stage: ReplicaStage
-  /** Memory that is occupied and can't yield. */
+  /** Memory that is occupied and can't be evicted. */
   readonly usedTokens: number
   readonly capacityTokens: number
   readonly queued: number
   readonly active: number
   readonly isSwitching: boolean
-  /** Whether the replica says that it leaves; absent: it does not tell. */
+  /** Whether the replica reports that it is shutting down; absent if it does not report it. */
   readonly isLeaving?: boolean
-  /** Requests a second that the replica takes from all entries together; absent: it names no limit. */
+  /** Requests per second that the replica accepts from all entries together; absent if it advertises no limit. */
   readonly limitPerS?: number
   readonly runs: readonly ReportedRun[]
 }
 
-/** A booking that an entry asks for. */
+/** Request of an entry to book memory. */
 export interface MemoryAsk {
   readonly bookingId: string
   readonly requestId: string
   readonly promptTokens: number
-  /** The caller's estimate of the answer, or the longest answer when it gave none. */
+  /** The caller's estimate of the output, or the maximum output if it gave none. */
   readonly hintTokens: number
   readonly maxOutputTokens: number
-  /** Between the grant and the first use of the memory. */
+  /** Time between the grant and the first use of the memory. */
   readonly leadMs: number
   readonly maxWaitMs: number
   readonly priority: number
-  /** From the ask until an answer is on time. */
+  /** Time from the booking request until the response is due. */
   readonly targetMs: number
-  /** Whether the decode replica reads the prompt itself. */
+  /** Whether the decode replica prefills the prompt itself. */
   readonly readsInPlace: boolean
 }
 
-/** An ask that waits for memory. */
+/** A booking request that waits for memory. */
 export interface Waiting extends MemoryAsk {
   readonly askedAtMs: number
 }
 
-/** Memory that was granted. */
+/** A granted booking of memory. */
 export interface Booking extends MemoryAsk {
   readonly grantedAtMs: number
-  /** A slot at a prefill replica that lapses then unless its prompt is announced. */
+  /** For a slot at a prefill replica: when it expires unless its prompt has been announced. */
   readonly slotUntilMs?: number
-  /** Set while its entry waits for the memory to be free. */
+  /** Set while the entry waits for confirmation that the memory is free. */
   confirm?: { readonly askedAtMs: number, readonly untilMs: number }
-  /** When its entry was told that the memory is free. */
+  /** When the entry received the confirmation that the memory is free. */
   confirmedAtMs?: number
   /** When the replica first reported the run. */
   seenAtMs?: number
@@ -75,13 +75,13 @@
   isHealthy: boolean
   readonly bookings: Map<string, Booking>
   waiting: Waiting[]
-  /** Since when some that can be on time have waited all the time; absent while none waits. */
+  /** Since when requests that can meet their target have been waiting without a break; absent while none waits. */
   crowdedSinceMs?: number
-  /** When one that can be on time last waited or was refused. */
+  /** When a request that can meet its target last waited or was rejected. */
   lastWaitAtMs: number
-  /** Length of answers, learned from runs that ended. */
+  /** Model of output lengths, learned from runs that ended. */
   output: OutputModel
-  /** Output of one request, learned from the growth of runs. */
+  /** Output rate of one request, learned from the growth of runs. */
   tokensPerMs: number
   lastRuns: ReadonlyMap<string, ReportedRun>
   lastReportAtMs: number
@@ -89,7 +89,7 @@
 
 /** Events of the ledger. */
 export type LedgerEvent = { readonly atMs: number } & (
-  /** @param askedAtMs - when the replica was asked; what it tells is not older */
+  /** `askedAtMs` is when the report was requested; its content is not older. */
   | { readonly type: 'report_read', readonly report: ReplicaReport, readonly askedAtMs: number }
   | { readonly type: 'report_failed' }
   | { readonly type: 'memory_asked', readonly ask: MemoryAsk }
@@ -102,7 +102,7 @@
 /** Effects of the ledger. */
 export type LedgerEffect =
   | { readonly type: 'answer', readonly bookingId: string, readonly isGranted: boolean, readonly retryAfterMs: number }
-  /** The replica does not answer its ledger: nothing can be booked there. */
+  /** The replica does not respond to its ledger, so that nothing can be booked there. */
   | { readonly type: 'replica_lost', readonly bookingId: string }
   | { readonly type: 'confirmed', readonly bookingId: string, readonly isFree: boolean }
   /** A confirmation waits for a fresh report. */
--- a/packages/bendfall-router/src/ledger/BendfallRouterOutputModel.ts
+++ b/packages/bendfall-router/src/ledger/BendfallRouterOutputModel.ts
@@ -1,88 +1,88 @@
 /**
- * Learns how long answers are from the callers' estimates, which are right at
- * the median but often far off: a line through the logarithms of both, so that
- * an extreme estimate is taken for half of what it says.
+ * Predicts output lengths from the callers' estimates, which are right at the median but often far
+ * off. Fits a line through the logarithms of both, so that an extreme estimate counts for about half
+ * of its value.
  *
  * @module
  */
 
-/** Sums of the line, older observations weighing less. */
+/** Accumulated sums of the regression, in which older observations weigh less. */
 export interface OutputModel {
   readonly weight: number
   readonly meanHint: number
   readonly meanOutput: number
-  readonly hintSpread: number
-  readonly commonSpread: number
+  readonly hintSquares: number
+  readonly crossProducts: number
 }
 
-/** Observations that the first guess weighs as much as. */
-const FIRST_WEIGHT = 12
+/** Number of observations that the initial line weighs as much as. */
+const INITIAL_WEIGHT = 12
 
-/** Tokens at which estimate and answer agree at first; the mean of the users' answers is 880. */
-const FIRST_TOKENS = 700
+/** Tokens at which estimate and output agree initially; the mean of the users' outputs is 880. */
+const INITIAL_TOKENS = 700
 
-/** First slope: estimates off by a factor of e in a half of spread against 0.7 of the answers. */
-const FIRST_SLOPE = 0.65
+/** Initial slope, for logarithms of estimates with an error of spread 0.5 and of outputs with spread 0.7. */
+const INITIAL_SLOPE = 0.65
 
-/** Spread of the logarithm of estimates at first. */
-const FIRST_SPREAD = 0.7
+/** Initial spread of the logarithm of the estimates. */
+const INITIAL_SPREAD = 0.7
 
-/** What an observation keeps of its weight with each later one: the last hundred count. */
-const KEPT = 0.99
+/** Factor by which each observation reduces the weight of the earlier ones: about the last hundred count. */
+const DECAY_FACTOR = 0.99
 
-/** Mean over median of what the line leaves unexplained: a spread of 0.45 in the logarithm. */
+/** Ratio of mean to median of the residuals of the line, for a spread of 0.45 in the logarithm. */
 const MEAN_OVER_MEDIAN = 1.1
 
-/** An answer that has passed its estimate is expected to grow by this much of itself. */
-const OVERDUE_FACTOR = 1.2
+/** An output that exceeds its prediction is expected to end at this multiple of its current length. */
+const OVERRUN_FACTOR = 1.2
 
 /**
- * Makes the model before any answer was seen.
+ * Creates the initial model, before any output was observed.
  *
  * @returns the model
  */
 export function createOutputModel (): OutputModel {
-  const mean = Math.log(FIRST_TOKENS)
-  const hintSpread = FIRST_WEIGHT * FIRST_SPREAD
-  return { weight: FIRST_WEIGHT, meanHint: mean, meanOutput: mean, hintSpread, commonSpread: FIRST_SLOPE * hintSpread }
+  const mean = Math.log(INITIAL_TOKENS)
+  const hintSquares = INITIAL_WEIGHT * INITIAL_SPREAD
+  return { weight: INITIAL_WEIGHT, meanHint: mean, meanOutput: mean, hintSquares, crossProducts: INITIAL_SLOPE * hintSquares }
 }
 
 /**
- * Learns from an answer.
+ * Updates the model with a completed output.
  *
- * @param model - before the answer
+ * @param model - model before the observation
  * @param hintTokens - the caller's estimate
- * @param outputTokens - length of the answer
- * @returns the model after it
+ * @param outputTokens - actual length of the output
+ * @returns the updated model
  */
 export function learnOutput (model: OutputModel, hintTokens: number, outputTokens: number): OutputModel {
   const hint = Math.log(Math.max(1, hintTokens))
   const output = Math.log(Math.max(1, outputTokens))
-  const weight = model.weight * KEPT + 1
-  const hintOff = hint - model.meanHint
-  const meanHint = model.meanHint + hintOff / weight
+  const weight = model.weight * DECAY_FACTOR + 1
+  const hintDeviation = hint - model.meanHint
+  const meanHint = model.meanHint + hintDeviation / weight
   const meanOutput = model.meanOutput + (output - model.meanOutput) / weight
   return {
     weight,
     meanHint,
     meanOutput,
-    hintSpread: model.hintSpread * KEPT + hintOff * (hint - meanHint),
-    commonSpread: model.commonSpread * KEPT + hintOff * (output - meanOutput)
+    hintSquares: model.hintSquares * DECAY_FACTOR + hintDeviation * (hint - meanHint),
+    crossProducts: model.crossProducts * DECAY_FACTOR + hintDeviation * (output - meanOutput)
   }
 }
 
 /**
- * Expects the length of an answer.
+ * Predicts the length of an output.
  *
- * @param model - what was learned
+ * @param model - the learned model
  * @param hintTokens - the caller's estimate
- * @param maxTokens - longest answer allowed
- * @param madeTokens - made so far
- * @returns tokens in the end
+ * @param maxTokens - maximum output allowed
+ * @param generatedTokens - output generated so far
+ * @returns total output in tokens
  */
-export function expectOutput (model: OutputModel, hintTokens: number, maxTokens: number, madeTokens: number): number {
-  const slope = model.commonSpread / model.hintSpread
+export function expectOutput (model: OutputModel, hintTokens: number, maxTokens: number, generatedTokens: number): number {
+  const slope = model.crossProducts / model.hintSquares
   const median = Math.exp(model.meanOutput + slope * (Math.log(Math.max(1, hintTokens)) - model.meanHint))
-  const expected = Math.max(median * MEAN_OVER_MEDIAN, madeTokens * OVERDUE_FACTOR)
-  return Math.max(madeTokens, Math.min(maxTokens, expected))
+  const expected = Math.max(median * MEAN_OVER_MEDIAN, generatedTokens * OVERRUN_FACTOR)
+  return Math.max(generatedTokens, Math.min(maxTokens, expected))
 }
