--- a/packages/bendfall-router/src/crashes/BendfallRouterCrashRecords.ts
+++ b/packages/bendfall-router/src/crashes/BendfallRouterCrashRecords.ts
@@ -1,7 +1,7 @@
 /**
- * Which requests replicas crashed under. A request is known by its fingerprint, since it
- * comes again under a new id and at other entries; a crash is known by the process that
- * ended, since several entries see the same one.
+ * Records under which requests replicas crashed. A request is identified by its fingerprint, since it
+ * is retried under a new id and at other entries. A crash is identified by the process that ended,
+ * since several entries see the same one.
  *
  * @module
  */
@@ -9,75 +9,75 @@
 /** One process of a replica. */
 export interface ReplicaProcess {
   readonly replicaId: string
-  /** Start of the process, Unix time; absent where the platform does not tell it. */
+  /** Start of the process in Unix time; absent where the platform does not report it. */
   readonly startedAtMs?: number
 }
 
 /** When a request counts as the cause of crashes. */
 export interface CrashLimits {
-  /** Replicas that crashed under it. */
+  /** Number of replicas that must have crashed under it. */
   readonly replicas: number
-  /** Time for which a crash counts. */
+  /** How long a crash counts. */
   readonly rememberedMs: number
 }
 
-/** Limits where the settings tell none. */
+/** Used where the settings define no limits. */
 export const DEFAULT_CRASH_LIMITS: CrashLimits = { replicas: 3, rememberedMs: 600_000 }
 
 /** Crashes of one request, by the process that ended. */
-export type ProcessTimes = Map<string, ProcessTime>
+export type CrashObservations = Map<string, CrashObservation>
 
-/** When a process was noted. */
-export interface ProcessTime {
-  /** When this entry learned of it, or the one that saw it by the age that it told. */
+/** Observation of a process that crashed under a request. */
+export interface CrashObservation {
+  /** When this entry learned of the crash or, for a report of another entry with ages, when that entry did. */
   readonly atMs: number
-  /** Whether this entry saw it. */
+  /** Whether this entry observed it itself. */
   readonly isOwn: boolean
-  /** Answers that this entry had passed on by then. */
+  /** Number of responses that this entry had forwarded by then. */
   readonly answers: number
-  /** When the request was sent there; absent where that was not told. */
+  /** When the request was sent to the process; absent if that was not reported. */
   readonly sentAtMs?: number
 }
 
-/** A time without the answers passed on by then. */
-type Sighting = Omit<ProcessTime, 'answers'>
+/** An observation to be recorded, without the response count. */
+type NewObservation = Omit<CrashObservation, 'answers'>
 
-/** A process on which connections were lost and of which it is not known whether it ended. */
+/** A process to which connections were lost and which may or may not have ended. */
 export interface LostProcess {
   readonly process: ReplicaProcess
-  /** Suspected requests, each with the time at which it was sent there. */
+  /** Suspected requests, by fingerprint, with the time at which each was sent to the process. */
   readonly fingerprints: Map<string, number>
   readonly lostAtMs: number
-  /** Whether a process took a connection there after that: this one, or one that started again at once. */
+  /** Whether a connection was accepted there afterwards, by this process or by one that was restarted at once. */
   isAnswering: boolean
 }
 
-/** What an entry knows of crashes. */
+/** An entry's records of crashes. */
 export interface CrashRecords {
   readonly limits: CrashLimits
-  /** By process. */
+  /** By process name. */
   readonly lost: Map<string, LostProcess>
   /** Crashes by the fingerprint of the request, oldest first. */
-  readonly suspects: Map<string, ProcessTimes>
+  readonly suspects: Map<string, CrashObservations>
   /** Crashes that a request did not cause, since it was served after them. */
-  readonly cleared: Map<string, ProcessTimes>
-  /** Fingerprints that were served of late, oldest first. */
+  readonly cleared: Map<string, CrashObservations>
+  /** Fingerprints that were served recently, oldest first. */
   readonly served: Set<string>
-  /** Answers that this entry has passed on. */
+  /** Number of responses that this entry has forwarded. */
   answers: number
 }
 
-/** Fingerprints that are kept of each kind; a crash ends up to 64 requests at once. */
-const MOST_SUSPECTS = 1_024
-const MOST_SERVED = 4_096
+/** Maximum fingerprints kept of each kind; one crash ends up to 64 requests at once. */
+const MAX_SUSPECTS = 1_024
+const MAX_SERVED = 4_096
 
-/** A connection that was lost this long ago tells nothing of the end of its process any more. */
-const LOST_MS = 10_000
+/** After this time a lost connection no longer indicates that its process ended. */
+const LOST_CONNECTION_TTL_MS = 10_000
 
 /**
- * Makes empty records.
+ * Creates empty records.
  *
- * @param limits - when a request counts as the cause
+ * @param limits - when a request counts as the cause of crashes
  * @returns the records
  */
 export function createCrashRecords (limits: CrashLimits = DEFAULT_CRASH_LIMITS): CrashRecords {
@@ -85,20 +85,20 @@
 }
 
 /**
- * Names a process for all entries.
+ * Formats the name by which all entries identify a process.
  *
- * @param process - of a replica
- * @returns its name
+ * @param process - process of a replica
+ * @returns id of the replica, followed by the start of the process if it is known
  */
 export function nameProcess ({ replicaId, startedAtMs }: ReplicaProcess): string {
   return startedAtMs === undefined ? replicaId : `${replicaId}/${startedAtMs}`
 }
 
 /**
- * Reads the replica out of the name of a process.
+ * Extracts the replica id from the name of a process.
  *
- * @param name - of a process
- * @returns id of its replica
+ * @param name - name made by {@link formatProcessName}
+ * @returns id of the replica
  */
 export function readReplicaId (name: string): string {
   const end = name.lastIndexOf('/')
@@ -112,90 +112,90 @@
 }
 
 /**
- * Notes that a connection was lost under a request.
+ * Records that a connection was lost under a request.
  *
  * @param records - changed in place
- * @param process - at the other end
- * @param suspect - the request; absent: it is not suspected
- * @param nowMs - the time
- * @returns whether the process is worth a check: none is under way
+ * @param process - process at the other end of the connection
+ * @param suspect - the request; undefined if it is not suspected
+ * @param nowMs - current time
+ * @returns whether the process should be checked: false if a check is already in progress
  */
 export function noteLost ({ lost }: CrashRecords, process: ReplicaProcess, suspect: Suspect | undefined, nowMs: number): boolean {
   for (const [name, { lostAtMs }] of lost) {
-    if (nowMs - lostAtMs < LOST_MS) break
+    if (nowMs - lostAtMs < LOST_CONNECTION_TTL_MS) break
     lost.delete(name)
   }
   const name = nameProcess(process)
-  const known = lost.get(name)
-  const isChecked = known?.isAnswering === true
-  if (known !== undefined) known.isAnswering = false
-  const one = known ?? { process, fingerprints: new Map<string, number>(), lostAtMs: nowMs, isAnswering: false }
-  if (suspect !== undefined) one.fingerprints.set(suspect.fingerprint, suspect.sentAtMs)
-  lost.set(name, one)
-  return known === undefined || isChecked
+  const existing = lost.get(name)
+  const wasChecked = existing?.isAnswering === true
+  if (existing !== undefined) existing.isAnswering = false
+  const lostProcess = existing ?? { process, fingerprints: new Map<string, number>(), lostAtMs: nowMs, isAnswering: false }
+  if (suspect !== undefined) lostProcess.fingerprints.set(suspect.fingerprint, suspect.sentAtMs)
+  lost.set(name, lostProcess)
+  return existing === undefined || wasChecked
 }
 
 /**
- * Notes that a process took a connection after others were lost: only the registration of
- * a later process tells now that it has ended.
+ * Records that a process accepted a connection after others were lost. From then on only the registration of
+ * a later process shows that it has ended.
  *
  * @param records - changed in place
- * @param process - of the replica
+ * @param process - process of the replica
  */
 export function noteAnswering ({ lost }: CrashRecords, process: ReplicaProcess): void {
-  const one = lost.get(nameProcess(process))
-  if (one !== undefined) one.isAnswering = true
+  const lostProcess = lost.get(nameProcess(process))
+  if (lostProcess !== undefined) lostProcess.isAnswering = true
 }
 
 /**
- * Notes that a process has ended.
+ * Records that a process has ended.
  *
  * @param records - changed in place
- * @param process - of the replica
- * @param nowMs - the time
- * @returns fingerprints of the requests that are suspected; undefined when no connection was lost there
+ * @param process - process of the replica
+ * @param nowMs - current time
+ * @returns fingerprints of the suspected requests; undefined if no connection to the process was lost
  */
 export function noteEnded (records: CrashRecords, process: ReplicaProcess, nowMs: number): readonly string[] | undefined {
   const name = nameProcess(process)
-  const one = records.lost.get(name)
-  if (one === undefined) return undefined
+  const lostProcess = records.lost.get(name)
+  if (lostProcess === undefined) return undefined
   records.lost.delete(name)
-  for (const [fingerprint, sentAtMs] of one.fingerprints) addTime(records, 'suspects', fingerprint, name, { atMs: nowMs, isOwn: true, sentAtMs })
-  return [...one.fingerprints.keys()]
+  for (const [fingerprint, sentAtMs] of lostProcess.fingerprints) addObservation(records, 'suspects', fingerprint, name, { atMs: nowMs, isOwn: true, sentAtMs })
+  return [...lostProcess.fingerprints.keys()]
 }
 
 /**
- * Notes that a request was served: it did not cause the crashes before.
+ * Records that a request was served, which shows that it did not cause the crashes before.
  *
  * @param records - changed in place
- * @param fingerprint - of the request
- * @param nowMs - the time
- * @returns how many crashes it is cleared of
+ * @param fingerprint - fingerprint of the request
+ * @param nowMs - current time
+ * @returns number of crashes of which it is cleared
  */
 export function noteServed (records: CrashRecords, fingerprint: string, nowMs: number): number {
-  vouch(records, fingerprint)
+  addServedFingerprint(records, fingerprint)
   records.answers += 1
   const crashes = records.suspects.get(fingerprint)
   if (crashes === undefined) return 0
-  for (const name of crashes.keys()) addTime(records, 'cleared', fingerprint, name, { atMs: nowMs, isOwn: true })
+  for (const name of crashes.keys()) addObservation(records, 'cleared', fingerprint, name, { atMs: nowMs, isOwn: true })
   records.suspects.delete(fingerprint)
   return crashes.size
 }
 
 /**
- * Notes that a request was served, here or at another entry.
+ * Marks a request as recently served, by this entry or another one.
  *
  * @param records - changed in place
- * @param fingerprint - of the request
+ * @param fingerprint - fingerprint of the request
  */
-export function vouch ({ served }: CrashRecords, fingerprint: string): void {
+export function addServedFingerprint ({ served }: CrashRecords, fingerprint: string): void {
   served.delete(fingerprint)
   served.add(fingerprint)
-  if (served.size > MOST_SERVED) dropOldest(served)
+  if (served.size > MAX_SERVED) dropOldest(served)
 }
 
 /**
- * Forgets all crashes, as an operator asks for.
+ * Deletes all crash records at an operator's request.
  *
  * @param records - changed in place
  */
@@ -204,23 +204,23 @@
 }
 
 /**
- * Notes a process under which a request is suspected, or of whose crash it is cleared.
+ * Adds an observation of a process under which a request is suspected, or of whose crash it is cleared.
  *
  * @param records - changed in place
- * @param kind - which of both
- * @param fingerprint - of the request
- * @param name - of the process
- * @param sighting - when, and by whom
+ * @param kind - whether the request is suspected or cleared
+ * @param fingerprint - fingerprint of the request
+ * @param name - name of the process
+ * @param observation - when the process was observed, and by whom
  */
-export function addTime ({ answers, ...records }: CrashRecords, kind: 'suspects' | 'cleared', fingerprint: string, name: string, { atMs, isOwn, sentAtMs }: Sighting): void {
+export function addObservation ({ answers, ...records }: CrashRecords, kind: 'suspects' | 'cleared', fingerprint: string, name: string, { atMs, isOwn, sentAtMs }: NewObservation): void {
   const all = records[kind]
-  const times = all.get(fingerprint) ?? new Map<string, ProcessTime>()
-  const known = times.get(name)
-  if (known === undefined) times.set(name, { atMs, isOwn, answers, sentAtMs })
-  else if (isOwn) times.set(name, { ...known, isOwn })
+  const observations = all.get(fingerprint) ?? new Map<string, CrashObservation>()
+  const existing = observations.get(name)
+  if (existing === undefined) observations.set(name, { atMs, isOwn, answers, sentAtMs })
+  else if (isOwn) observations.set(name, { ...existing, isOwn })
   all.delete(fingerprint)
-  all.set(fingerprint, times)
-  if (all.size > MOST_SUSPECTS) dropOldest(all)
+  all.set(fingerprint, observations)
+  if (all.size > MAX_SUSPECTS) dropOldest(all)
 }
 
 function dropOldest (all: Set<string> | Map<string, unknown>): void {
--- a/packages/bendfall-router/src/limits/BendfallRouterPermitKeeper.ts
+++ b/packages/bendfall-router/src/limits/BendfallRouterPermitKeeper.ts
@@ -1,199 +1,200 @@
 /**
- * Keeps the limits that replicas name: one entry leases permits for single sends to all
- * entries, so that together they stay within a limit, whoever has the callers.
+ * Leases permits for the limits that replicas advertise. One entry, the leader, leases permits for single
+ * sends to all entries, so that together they stay within a limit however callers are distributed.
  *
- * The platform bounds what reaches a replica in a window that slides. What an entry had sent
- * before it knew of the limit lies in the first windows as well, so that it is told once and
- * held back from the first permits.
+ * The platform bounds the requests that reach a replica in a sliding window. Requests that an entry sent
+ * before it knew of the limit fall into the first windows too, so that they are reported once and
+ * withheld from the first permits.
  *
  * @module
  */
 import type { BucketLimit, TokenBucket } from '../allotments/BendfallRouterTokenBucket.js'
 import { createBucket, giveBackUnits, takeUnits } from '../allotments/BendfallRouterTokenBucket.js'
 
-/** Time for which a permit holds at the entry that leased it. */
+/** How long a permit is valid at the entry that leased it. */
 export const PERMIT_MS = 400
 
-/** Part of the first window that lies before the limit was named. */
+/** Part of the first window that lies before the limit was learned; sends in it are reported to the leader. */
 export const SENT_BEFORE_MS = 1_000
 
-/** What an entry tells the keeper of a replica, and asks of it. */
+/** An entry's request for permits of a replica, with what it knows of the limit. */
 export interface PermitAsk {
   /** Name of the replica's process. */
   readonly processName: string
-  /** Entry that asks. */
+  /** Name of the requesting entry. */
   readonly entry: string
-  /** Requests a second that the replica takes; absent: it lifted its limit. */
+  /** Requests per second that the replica accepts; absent if the limit was lifted. */
   readonly perS?: number
-  /** Time since the entry heard so. */
+  /** Time since the entry received that notice. */
   readonly heardAgoMs: number
-  /** Time since the request was sent whose answer said so. */
+  /** Time since the request was sent whose response carried the notice. */
   readonly sentAgoMs: number
-  /** Permits that it could use. */
+  /** Permits that the entry could use. */
   readonly wanted: number
-  /** Permits that lapsed unused. */
+  /** Permits that expired unused. */
   readonly returned: number
-  /** Sends that had no permit, since the entry did not know of the limit. */
+  /** Sends without a permit from before the entry knew of the limit. */
   readonly sentBefore: number
 }
 
-/** Outcome of an ask. */
+/** Result of a permit request. */
 export type PermitOutcome =
   | {
     readonly type: 'leased'
     readonly permits: number
-    /** Requests a second that the replica takes by the newest notice to any entry; absent: it lifted its limit. */
+    /** Requests per second that the replica accepts, by the latest notice to any entry; absent if the limit was lifted. */
     readonly perS?: number
     /** Time since that notice. */
     readonly heardAgoMs: number
-    /** No permit is free for this entry sooner. */
+    /** Time before which no permit will be available for this entry. */
     readonly nextInMs: number
-    /** Entries that asked for permits of this replica of late. */
+    /** Number of entries that recently requested permits of this replica. */
     readonly entries: number
   }
-  /** No answer, or its process doesn't hold the duty. */
+  /** The leader did not respond, or the process is not the leader. */
   | { readonly type: 'unreachable' }
 
-/** A limit that the process of a replica names. */
+/** A limit that the process of a replica advertises. */
 export interface NamedLimit {
   readonly processName: string
-  /** Requests a second that it takes from all entries together. */
+  /** Requests per second that it accepts from all entries together. */
   readonly perS: number
 }
 
-/** Limits of one time of holding the duty. */
+/** State of the leader, kept for one term. */
 export interface PermitKeeper {
-  /** Since when the duty is held; before, another process may have leased. */
+  /** When this process became leader; before that, another process may have leased permits. */
   readonly sinceMs: number
-  readonly limits: Map<string, KeptLimit>
+  readonly limits: Map<string, LimitState>
 }
 
-interface KeptLimit {
+interface LimitState {
   perS?: number
   heardAtMs: number
   askedAtMs: number
   readonly bucket: TokenBucket
-  /** Sends without a permit, of the window that is new. */
+  /** Sends without a permit in the current window. */
   sentBefore: number
   sentBeforeSinceMs: number
-  /** Entries that asked in this second and in the one before. */
+  /** Entries that requested permits in the current interval, and in the one before. */
   entries: Set<string>
-  formerEntries: Set<string>
+  previousEntries: Set<string>
   entriesSinceMs: number
 }
 
-/** Requests a second at least, of all entries: one that takes none is still asked whether it does. */
-const LEAST_PER_S = 0.2
+/** Minimum requests per second of all entries: a replica that accepts none is still probed for whether it does. */
+const MIN_PER_S = 0.2
 
-/** Permits that are free at once after a time without use: this many, and those of so long. */
+/** Permits available at once after an idle period: a fixed number, plus those of a period at the limit. */
 const BURST_PERMITS = 2
 const BURST_S = 0.2
 
-/** Of a bucket whose limit is told with each use. */
+/** Initial value for a bucket whose limit is passed with each use. */
 const NO_BURST: BucketLimit = { unitsPerS: 0, burstUnits: 0 }
 
-/** Permits of a limit that are free when the duty begins, so that it is heard of soon whether a small one still holds. */
-const FIRST_PERMITS = 1
+/** Permits of a limit that are available when leadership begins, so that it is soon known whether a small limit still applies. */
+const INITIAL_PERMITS = 1
 
-/** Permits of so long are leased at once, one at least, so that one entry does not take all. */
-const LEASED_AT_ONCE_S = 0.2
+/** Permits are leased for this period at a time, but at least one, so that one entry does not take all. */
+const LEASE_BATCH_S = 0.2
 
-/** Entries that were told to wait ask again within this, since others may not use what they wait for. */
-const LONGEST_WAIT_MS = 2_000
+/** Maximum time until a waiting entry requests again, since others may not use the permits that it waits for. */
+const MAX_WAIT_MS = 2_000
 
-/** Of the platform's bound: a window, its factor and what it allows beside. */
+/** The platform's bound on the requests in a window: its length, the factor on the limit, and a constant allowance. */
 const WINDOW_MS = 4_000
 const WINDOW_FACTOR = 1.5
-const WINDOW_BESIDE = 5
+const WINDOW_ALLOWANCE = 5
 
-/** Of the bound; counts of entries are not exact. */
-const FAR_OVER = 1.5
+/** Multiple of the bound from which nothing is withheld; the entries' counts are not exact. */
+const EXCEEDED_FACTOR = 1.5
 
-/** Sends without a permit that need not be held back, beside those of two seconds: permits of a window leave room for them. */
-const UNHELD_SENDS = 2
-const UNHELD_S = 2
+/** Sends without a permit that need not be withheld: a fixed number, plus those of two seconds at the limit, for which the permits of a window leave room. */
+const EXEMPT_SENDS = 2
+const EXEMPT_S = 2
 
-/** Entries are counted by spans of this. */
-const ENTRIES_MS = 1_000
+/** Interval over which entries are counted. */
+const ENTRY_COUNT_INTERVAL_MS = 1_000
 
-/** A limit that nobody asked for in this time is forgotten. */
-const FORGOTTEN_MS = 60_000
+/** A limit for which no permit is requested in this time is dropped. */
+const LIMIT_TTL_MS = 60_000
 
 const MS_PER_SECOND = 1_000
 
 /**
- * Makes a keeper that has leased nothing.
+ * Creates the state of a leader that has leased nothing.
  *
- * @param sinceMs - since when the duty is held
- * @returns the keeper
+ * @param sinceMs - when the process became leader
+ * @returns the state
  */
 export function createPermitKeeper (sinceMs: number): PermitKeeper {
   return { sinceMs, limits: new Map() }
 }
 
 /**
- * Leases permits to an entry, and takes what it tells of the replica.
+ * Leases permits to an entry, and updates the limit from what the entry reports of the replica.
  *
  * @param keeper - its limits are changed in place
- * @param ask - of the entry
- * @param nowMs - the time
- * @param share - of each limit that may be leased, from 0 to 1
- * @returns the permits
+ * @param request - request of the entry
+ * @param nowMs - current time
+ * @param share - share of each limit that may be leased, from 0 to 1
+ * @returns the leased permits and the current limit
  */
-export function leasePermits (keeper: PermitKeeper, ask: PermitAsk, nowMs: number, share = 1): PermitOutcome {
-  const limit = limitOf(keeper, ask, nowMs)
-  learnLimit(limit, ask, nowMs)
-  noteEntry(limit, ask.entry, nowMs)
+export function leasePermits (keeper: PermitKeeper, request: PermitAsk, nowMs: number, share = 1): PermitOutcome {
+  const limit = limitOf(keeper, request, nowMs)
+  updateLimit(limit, request, nowMs)
+  recordEntry(limit, request.entry, nowMs)
   const { perS } = limit
-  const answer = { type: 'leased', perS, heardAgoMs: nowMs - limit.heardAtMs, entries: Math.max(limit.entries.size, limit.formerEntries.size) } as const
-  if (perS === undefined) return { ...answer, permits: 0, nextInMs: 0 }
+  const response = { type: 'leased', perS, heardAgoMs: nowMs - limit.heardAtMs, entries: Math.max(limit.entries.size, limit.previousEntries.size) } as const
+  if (perS === undefined) return { ...response, permits: 0, nextInMs: 0 }
   const bounds = bucketLimitOf(perS * share)
-  giveBackUnits(limit.bucket, bounds, ask.returned, nowMs)
-  holdBack(limit, perS, ask.sentBefore, nowMs)
-  return { ...answer, ...take(limit.bucket, bounds, ask.wanted, nowMs) }
+  giveBackUnits(limit.bucket, bounds, request.returned, nowMs)
+  withholdPermits(limit, perS, request.sentBefore, nowMs)
+  return { ...response, ...takePermits(limit.bucket, bounds, request.wanted, nowMs) }
 }
 
 /**
- * Lists the limits that replicas name now.
+ * Lists the limits that replicas currently advertise.
  *
- * @param keeper - that keeps them
+ * @param keeper - state of the leader
  * @returns the limits
  */
 export function namedLimits ({ limits }: PermitKeeper): NamedLimit[] {
   return [...limits].flatMap(([processName, { perS }]) => perS === undefined ? [] : [{ processName, perS }])
 }
 
-function take (bucket: TokenBucket, bounds: BucketLimit, wanted: number, nowMs: number): { readonly permits: number, readonly nextInMs: number } {
+function takePermits (bucket: TokenBucket, bounds: BucketLimit, wanted: number, nowMs: number): { readonly permits: number, readonly nextInMs: number } {
   if (wanted < 1) return { permits: 0, nextInMs: 0 }
   const first = takeUnits(bucket, bounds, 1, nowMs)
-  const longestMs = Math.max(LONGEST_WAIT_MS, MS_PER_SECOND / bounds.unitsPerS)
-  // Entries that were told a later time ask sooner: what was promised beyond does not keep others waiting.
-  bucket.returnsUntilMs = Math.min(bucket.returnsUntilMs, nowMs + longestMs)
-  if (first.type === 'refused') return { permits: 0, nextInMs: Math.min(first.retryAfterMs, longestMs) }
-  const most = Math.max(1, Math.ceil(bounds.unitsPerS * LEASED_AT_ONCE_S))
-  const further = Math.min(wanted - 1, most - 1, Math.floor(bucket.units))
-  bucket.units -= Math.max(0, further)
-  return { permits: 1 + Math.max(0, further), nextInMs: 0 }
+  const maxWaitMs = Math.max(MAX_WAIT_MS, MS_PER_SECOND / bounds.unitsPerS)
+  // Entries that were given a later time request again sooner than that, so that reservations beyond
+  // the maximum must not delay others.
+  bucket.returnsUntilMs = Math.min(bucket.returnsUntilMs, nowMs + maxWaitMs)
+  if (first.type === 'refused') return { permits: 0, nextInMs: Math.min(first.retryAfterMs, maxWaitMs) }
+  const maxPermits = Math.max(1, Math.ceil(bounds.unitsPerS * LEASE_BATCH_S))
+  const additional = Math.min(wanted - 1, maxPermits - 1, Math.floor(bucket.units))
+  bucket.units -= Math.max(0, additional)
+  return { permits: 1 + Math.max(0, additional), nextInMs: 0 }
 }
 
 function bucketLimitOf (perS: number): BucketLimit {
-  return { unitsPerS: Math.max(LEAST_PER_S, perS), burstUnits: BURST_PERMITS + perS * BURST_S }
+  return { unitsPerS: Math.max(MIN_PER_S, perS), burstUnits: BURST_PERMITS + perS * BURST_S }
 }
 
-function limitOf ({ limits, sinceMs }: PermitKeeper, { processName }: PermitAsk, nowMs: number): KeptLimit {
-  const known = limits.get(processName)
-  // In the order of the last asks, so that those that nobody asks for are first.
+function limitOf ({ limits, sinceMs }: PermitKeeper, { processName }: PermitAsk, nowMs: number): LimitState {
+  const existing = limits.get(processName)
+  // Reinserts the limit, so that those without recent requests come first.
   limits.delete(processName)
-  forgetUnasked(limits, nowMs)
-  const limit = known ?? {
+  dropUnusedLimits(limits, nowMs)
+  const limit = existing ?? {
     heardAtMs: -Infinity,
     askedAtMs: nowMs,
-    // Nothing was leased of it since the duty began.
-    bucket: { ...createBucket(NO_BURST, sinceMs), units: FIRST_PERMITS },
+    // Nothing was leased of this limit since the process became leader.
+    bucket: { ...createBucket(NO_BURST, sinceMs), units: INITIAL_PERMITS },
     sentBefore: 0,
     sentBeforeSinceMs: -Infinity,
     entries: new Set<string>(),
-    formerEntries: new Set<string>(),
+    previousEntries: new Set<string>(),
     entriesSinceMs: nowMs
   }
   limit.askedAtMs = nowMs
@@ -201,16 +202,16 @@
   return limit
 }
 
-function forgetUnasked (limits: Map<string, KeptLimit>, nowMs: number): void {
+function dropUnusedLimits (limits: Map<string, LimitState>, nowMs: number): void {
   for (const [name, { askedAtMs }] of limits) {
-    if (nowMs - askedAtMs < FORGOTTEN_MS) return
+    if (nowMs - askedAtMs < LIMIT_TTL_MS) return
     limits.delete(name)
   }
 }
 
-// What was heard last counts, by whichever entry. One that loosens the limit was asked for
-// after that: answers overtake each other.
-function learnLimit (limit: KeptLimit, { heardAgoMs, perS, sentAgoMs }: PermitAsk, nowMs: number): void {
+// The latest notice counts, whichever entry received it. One that loosens the limit counts only if its
+// request was sent after the last notice arrived, since responses can overtake each other.
+function updateLimit (limit: LimitState, { heardAgoMs, perS, sentAgoMs }: PermitAsk, nowMs: number): void {
   const heardAtMs = nowMs - heardAgoMs
   const isLooser = (perS ?? Infinity) > (limit.perS ?? Infinity)
   if (heardAtMs <= limit.heardAtMs || (isLooser && nowMs - sentAgoMs <= limit.heardAtMs)) return
@@ -218,27 +219,27 @@
   limit.heardAtMs = heardAtMs
 }
 
-function noteEntry (limit: KeptLimit, entry: string, nowMs: number): void {
-  if (nowMs - limit.entriesSinceMs >= ENTRIES_MS) {
-    limit.formerEntries = nowMs - limit.entriesSinceMs < 2 * ENTRIES_MS ? limit.entries : new Set()
+function recordEntry (limit: LimitState, entry: string, nowMs: number): void {
+  if (nowMs - limit.entriesSinceMs >= ENTRY_COUNT_INTERVAL_MS) {
+    limit.previousEntries = nowMs - limit.entriesSinceMs < 2 * ENTRY_COUNT_INTERVAL_MS ? limit.entries : new Set()
     limit.entries = new Set()
     limit.entriesSinceMs = nowMs
   }
   limit.entries.add(entry)
 }
 
-// A window that is far over its bound by these sends alone is so whatever is leased.
-function holdBack (limit: KeptLimit, perS: number, sends: number, nowMs: number): void {
+// A window that far exceeds its bound by these sends alone does so whatever is leased.
+function withholdPermits (limit: LimitState, perS: number, sends: number, nowMs: number): void {
   if (nowMs - limit.sentBeforeSinceMs > WINDOW_MS) {
     limit.sentBefore = 0
     limit.sentBeforeSinceMs = nowMs
   }
-  const former = heldBackOf(limit.sentBefore, perS)
+  const previous = withheldPermits(limit.sentBefore, perS)
   limit.sentBefore += sends
-  limit.bucket.units -= heldBackOf(limit.sentBefore, perS) - former
+  limit.bucket.units -= withheldPermits(limit.sentBefore, perS) - previous
 }
 
-function heldBackOf (sends: number, perS: number): number {
-  if (sends > FAR_OVER * (WINDOW_FACTOR * perS * WINDOW_MS / MS_PER_SECOND + WINDOW_BESIDE)) return 0
-  return Math.max(0, sends - UNHELD_S * perS - UNHELD_SENDS)
+function withheldPermits (sends: number, perS: number): number {
+  if (sends > EXCEEDED_FACTOR * (WINDOW_FACTOR * perS * WINDOW_MS / MS_PER_SECOND + WINDOW_ALLOWANCE)) return 0
+  return Math.max(0, sends - EXEMPT_S * perS - EXEMPT_SENDS)
 }
--- a/packages/bendfall-router/src/limits/BendfallRouterReplicaLimits.ts
+++ b/packages/bendfall-router/src/limits/BendfallRouterReplicaLimits.ts
@@ -1,78 +1,78 @@
 /**
- * What an entry knows of the limits that replicas name, and the permits that it has leased
- * for sends to them.
+ * An entry's view of the limits that replicas advertise, and the permits that it has leased for
+ * sends to them.
  *
  * @module
  */
 import type { NamedLimit, PermitAsk, PermitOutcome } from './BendfallRouterPermitKeeper.js'
 import { PERMIT_MS } from './BendfallRouterPermitKeeper.js'
 
-/** What the head of an answer says of a limit on the requests of all entries together. */
+/** The limit on the requests of all entries together in a response head. */
 export type LimitNotice =
   | { readonly type: 'named', readonly perS: number }
   | { readonly type: 'none' }
-  /** It names one that can't be read. */
+  /** It contains a limit that can't be parsed. */
   | { readonly type: 'unreadable', readonly text: string }
 
 /** Limit of the process of a replica. */
 export interface ReplicaLimit {
   readonly processName: string
   perS: number
-  /** When the last notice of it came, to whichever entry. */
+  /** When the last notice of the limit arrived, at any entry. */
   heardAtMs: number
-  /** When the request was sent whose answer said so. */
+  /** When the request was sent whose response carried the notice. */
   sentAtMs: number
   permits: number
-  /** When the permits lapse. */
+  /** When the permits expire. */
   lapseAtMs: number
-  /** Permits that lapsed unused and are to be given back. */
+  /** Permits that expired unused and are to be returned to the leader. */
   returned: number
-  /** Sends before the limit was known that the keeper does not know of. */
+  /** Sends from before the limit was known that have not been reported to the leader. */
   sentBefore: number
   isAsking: boolean
   askedAtMs: number
-  /** The keeper has no permit for this entry sooner. */
+  /** Time before which the leader has no permit for this entry. */
   nextAskAtMs: number
-  /** Sends that were made or wanted since the last ask. */
+  /** Sends made or wanted since the last permit request. */
   wanted: number
   wantedSinceMs: number
-  /** Entries that share the limit, as the keeper counts them. */
+  /** Number of entries that share the limit, as counted by the leader. */
   entries: number
 }
 
-/** Limits by the name of the process, oldest first. */
+/** Limits by process name, oldest first. */
 export type ReplicaLimits = Map<string, ReplicaLimit>
 
-/** Limits that are known at a time; more than replicas in need in a fleet of 12,000. */
-const MOST_KNOWN = 4_096
+/** Maximum limits kept at a time; more than the replicas that need one in a fleet of 12,000. */
+const MAX_LIMITS = 4_096
 
-/** A limit of which no entry heard in this time is forgotten. */
-const FORGOTTEN_MS = 60_000
+/** A limit of which no entry received a notice in this time is dropped. */
+const LIMIT_TTL_MS = 60_000
 
-/** Permits are asked for the demand of so long. */
-const ASKED_AHEAD_MS = 200
+/** Permits are requested for the demand of this period. */
+const REQUEST_AHEAD_MS = 200
 
-/** The demand is measured over so long at least. */
-const LEAST_MEASURED_MS = 100
+/** Minimum period over which demand is measured. */
+const MIN_MEASURED_MS = 100
 
-/** Asked for at once; the keeper leases less of small limits. */
-const MOST_WANTED = 1_000
+/** Maximum permits per request; the leader leases fewer of small limits. */
+const MAX_WANTED = 1_000
 
-/** Without an answer of the keeper it is asked again after this. */
-const UNREACHABLE_MS = 200
+/** Delay before the leader is asked again if it did not respond. */
+const UNREACHABLE_RETRY_MS = 200
 
 /** What a notice changed. */
 export type LimitChange = 'named' | 'changed' | 'lifted' | 'nothing'
 
 /**
- * Takes what an answer says of a limit. A notice that loosens a limit counts only in the answer
- * to a request that was sent after the last notice came: answers overtake each other.
+ * Applies the limit in a response. A notice that loosens a limit counts only in the response to a request
+ * that was sent after the last notice arrived, since responses can overtake each other.
  *
  * @param limits - changed in place
- * @param processName - of the replica
- * @param notice - from the head of its answer
- * @param sentAtMs - when its request was sent
- * @param nowMs - the time
+ * @param processName - name of the responding process
+ * @param notice - limit in the head of its response
+ * @param sentAtMs - when the request was sent
+ * @param nowMs - current time
  * @returns what it changed
  */
 export function takeLimitNotice (limits: ReplicaLimits, processName: string, notice: LimitNotice, sentAtMs: number, nowMs: number): LimitChange {
@@ -94,28 +94,28 @@
 }
 
 /**
- * Adds a limit that other entries have heard of.
+ * Adds a limit that other entries have learned.
  *
  * @param limits - changed in place
- * @param told - the limit
- * @param nowMs - the time
+ * @param learned - the limit
+ * @param nowMs - current time
  */
 export function addLearnedLimit (limits: ReplicaLimits, { perS, processName }: NamedLimit, nowMs: number): void {
   if (!limits.has(processName)) addLimit(limits, { processName, perS, heardAtMs: nowMs, sentAtMs: -Infinity }, nowMs)
 }
 
-function addLimit (limits: ReplicaLimits, told: Pick<ReplicaLimit, 'processName' | 'perS' | 'heardAtMs' | 'sentAtMs'>, nowMs: number): void {
-  limits.set(told.processName, { ...told, permits: 0, lapseAtMs: -Infinity, returned: 0, sentBefore: 0, isAsking: false, askedAtMs: -Infinity, nextAskAtMs: -Infinity, wanted: 0, wantedSinceMs: nowMs, entries: 1 })
+function addLimit (limits: ReplicaLimits, learned: Pick<ReplicaLimit, 'processName' | 'perS' | 'heardAtMs' | 'sentAtMs'>, nowMs: number): void {
+  limits.set(learned.processName, { ...learned, permits: 0, lapseAtMs: -Infinity, returned: 0, sentBefore: 0, isAsking: false, askedAtMs: -Infinity, nextAskAtMs: -Infinity, wanted: 0, wantedSinceMs: nowMs, entries: 1 })
   const [oldest] = limits.keys()
-  if (limits.size > MOST_KNOWN && oldest !== undefined) limits.delete(oldest)
+  if (limits.size > MAX_LIMITS && oldest !== undefined) limits.delete(oldest)
 }
 
 /**
- * Tells whether a replica may be sent a request by the permits at hand.
+ * Returns whether a request may be sent to a replica with the permits at hand.
  *
- * @param limit - of the replica; absent: it names none
- * @param nowMs - the time
- * @returns true without a limit and with a permit
+ * @param limit - limit of the replica; undefined if it advertises none
+ * @param nowMs - current time
+ * @returns true without a limit, or with an unexpired permit
  */
 export function hasPermit (limit: ReplicaLimit | undefined, nowMs: number): boolean {
   return limit === undefined || (limit.permits > 0 && nowMs < limit.lapseAtMs)
@@ -124,7 +124,7 @@
 /**
  * Uses a permit.
  *
- * @param limit - has one; see {@link hasPermit}
+ * @param limit - limit with a permit; see {@link hasPermit}
  */
 export function usePermit (limit: ReplicaLimit): void {
   limit.permits -= 1
@@ -132,46 +132,46 @@
 }
 
 /**
- * Gives a permit back that was used for a send which was not made.
+ * Returns a permit that was used for a send which did not take place.
  *
- * @param limit - of the replica
+ * @param limit - limit of the replica; changed in place
  */
 export function returnPermit (limit: ReplicaLimit): void {
   limit.returned += 1
 }
 
 /**
- * Makes the next ask to the keeper.
+ * Creates the next permit request to the leader.
  *
- * @param limit - of the replica; changed in place
+ * @param limit - limit of the replica; changed in place
  * @param entry - name of this entry
- * @param nowMs - the time
- * @returns the ask
+ * @param nowMs - current time
+ * @returns the permit request
  */
 export function createAsk (limit: ReplicaLimit, entry: string, nowMs: number): PermitAsk {
   const { heardAtMs, perS, processName, sentAtMs, sentBefore } = limit
   if (nowMs >= limit.lapseAtMs) dropPermits(limit)
-  const demand = limit.wanted * ASKED_AHEAD_MS / Math.max(LEAST_MEASURED_MS, nowMs - limit.wantedSinceMs)
-  const wanted = Math.min(MOST_WANTED, Math.max(1, Math.ceil(demand)))
-  const ask = { processName, entry, perS, heardAgoMs: nowMs - heardAtMs, sentAgoMs: nowMs - sentAtMs, wanted, returned: limit.returned, sentBefore }
+  const demand = limit.wanted * REQUEST_AHEAD_MS / Math.max(MIN_MEASURED_MS, nowMs - limit.wantedSinceMs)
+  const wanted = Math.min(MAX_WANTED, Math.max(1, Math.ceil(demand)))
+  const request = { processName, entry, perS, heardAgoMs: nowMs - heardAtMs, sentAgoMs: nowMs - sentAtMs, wanted, returned: limit.returned, sentBefore }
   Object.assign(limit, { isAsking: true, askedAtMs: nowMs, wanted: 0, wantedSinceMs: nowMs, returned: 0, sentBefore: 0 })
-  return ask
+  return request
 }
 
 /**
- * Makes the ask that tells the keeper of a limit which was lifted.
+ * Creates the request that notifies the leader of a lifted limit.
  *
- * @param processName - of the replica
+ * @param processName - name of the replica's process
  * @param entry - name of this entry
- * @param sentAgoMs - time since the request was sent whose answer named no limit
- * @returns the ask, for no permits
+ * @param sentAgoMs - time since the request was sent whose response carried no limit
+ * @returns the request, for no permits
  */
 export function createLiftedAsk (processName: string, entry: string, sentAgoMs: number): PermitAsk {
   return { processName, entry, heardAgoMs: 0, sentAgoMs, wanted: 0, returned: 0, sentBefore: 0 }
 }
 
 /**
- * Drops permits that lapsed; they are given back with the next ask.
+ * Drops permits that expired; they are returned with the next permit request.
  *
  * @param limit - changed in place
  */
@@ -181,21 +181,21 @@
 }
 
 /**
- * Takes the keeper's answer.
+ * Applies the leader's response to a permit request.
  *
  * @param limits - changed in place
- * @param limit - that it was asked for
- * @param ask - that it answers
- * @param outcome - the answer
- * @param nowMs - the time
+ * @param limit - limit for which permits were requested
+ * @param request - the permit request
+ * @param outcome - the response
+ * @param nowMs - current time
  * @returns what it changed
  */
-export function takePermits (limits: ReplicaLimits, limit: ReplicaLimit, ask: PermitAsk, outcome: PermitOutcome, nowMs: number): LimitChange {
+export function takePermits (limits: ReplicaLimits, limit: ReplicaLimit, request: PermitAsk, outcome: PermitOutcome, nowMs: number): LimitChange {
   limit.isAsking = false
   if (outcome.type === 'unreachable') {
-    // The keeper may have taken the ask: permits given back twice would be leased beyond the limit.
-    limit.sentBefore += ask.sentBefore
-    limit.nextAskAtMs = nowMs + UNREACHABLE_MS
+    // The leader may have processed the request: permits returned twice would be leased beyond the limit.
+    limit.sentBefore += request.sentBefore
+    limit.nextAskAtMs = nowMs + UNREACHABLE_RETRY_MS
     return 'nothing'
   }
   const heardAtMs = nowMs - outcome.heardAgoMs
@@ -216,13 +216,13 @@
 }
 
 /**
- * Forgets limits of which nobody heard for long.
+ * Drops limits of which no entry has received a notice for long.
  *
  * @param limits - changed in place
- * @param nowMs - the time
+ * @param nowMs - current time
  */
 export function forgetLimits (limits: ReplicaLimits, nowMs: number): void {
   for (const [name, { heardAtMs, isAsking }] of limits) {
-    if (!isAsking && nowMs - heardAtMs >= FORGOTTEN_MS) limits.delete(name)
+    if (!isAsking && nowMs - heardAtMs >= LIMIT_TTL_MS) limits.delete(name)
   }
 }
--- a/packages/bendfall-router/src/notices/BendfallRouterNotices.ts
+++ b/packages/bendfall-router/src/notices/BendfallRouterNotices.ts
@@ -1,48 +1,48 @@
 /**
- * What replicas say of themselves in their answers: that they leave, or that they want no
- * request for a time. Each notice belongs to one process; one that starts again under its
- * id is not bound by it.
+ * Status that replicas report in the heads of their responses: that they are shutting down, or that they want
+ * no requests for a time. A notice applies to one process; a process that restarts under the same
+ * replica id is not bound by it.
  *
  * @module
  */
 
 import type { LimitNotice } from '../limits/BendfallRouterReplicaLimits.js'
 
-/** What the head of an answer says of its replica. */
+/** Status of the replica in a response head. */
 export interface ReplicaNotice {
-  /** The replica leaves. */
+  /** Whether the replica is shutting down. */
   readonly isLeaving: boolean
-  /** Time for which it wants no request; absent: it did not say. */
+  /** Time for which it wants no requests; absent if it did not report one. */
   readonly backoffMs?: number
-  /** Of a limit on the requests of all entries; absent: nothing is said either way. */
+  /** Limit on the requests of all entries; absent if the response has no information on limits. */
   readonly limit?: LimitNotice
-  /** Names of headers in which it said more that nobody decodes; absent: none. */
+  /** Names of headers with further status that is not decoded; absent: none. */
   readonly undecoded?: readonly string[]
 }
 
-/** What one process has said. */
-interface KnownNotice {
+/** Accumulated status of one process. */
+interface ProcessStatus {
   readonly isLeaving: boolean
   readonly backoffUntilMs: number
 }
 
-/** Notices by the name of the process, oldest first. */
-export type ReplicaNotices = Map<string, KnownNotice>
+/** Notices by process name, oldest first. */
+export type ReplicaNotices = Map<string, ProcessStatus>
 
-/** Processes whose notices are kept; more than leave or back off at once in a fleet of 12,000. */
-const MOST_KNOWN = 4_096
+/** Maximum processes whose notices are kept; more than shut down or back off at once in a fleet of 12,000. */
+const MAX_PROCESSES = 4_096
 
 /** What a notice changed. */
 export type NoticeChange = 'leaves' | 'backs_off' | 'nothing'
 
 /**
- * Takes a notice. One that leaves does not say later that it stays, and a backoff is not
- * shortened by a later answer without one.
+ * Records a notice. A shutdown is never revoked by a later notice, and a backoff is not shortened by a
+ * later response without one.
  *
  * @param notices - changed in place
- * @param processName - of the replica
- * @param notice - from the head of its answer
- * @param nowMs - the time
+ * @param processName - name of the responding process
+ * @param notice - status in the head of its response
+ * @param nowMs - current time
  * @returns what it changed
  */
 export function takeNotice (notices: ReplicaNotices, processName: string, { backoffMs = 0, isLeaving }: ReplicaNotice, nowMs: number): NoticeChange {
@@ -52,16 +52,16 @@
   notices.delete(processName)
   notices.set(processName, { isLeaving: known.isLeaving || isLeaving, backoffUntilMs })
   const [oldest] = notices.keys()
-  if (notices.size > MOST_KNOWN && oldest !== undefined) notices.delete(oldest)
+  if (notices.size > MAX_PROCESSES && oldest !== undefined) notices.delete(oldest)
   if (isLeaving && !known.isLeaving) return 'leaves'
   return known.backoffUntilMs <= nowMs && backoffMs > 0 ? 'backs_off' : 'nothing'
 }
 
 /**
- * Tells whether a process has said that it leaves.
+ * Returns whether a process has reported that it is shutting down.
  *
- * @param notices - known so far
- * @param processName - of the replica
+ * @param notices - notices received so far
+ * @param processName - name of the replica's process
  * @returns true once it has
  */
 export function hasSaidLeaving (notices: ReplicaNotices, processName: string): boolean {
@@ -69,12 +69,12 @@
 }
 
 /**
- * Time for which a process still wants no request.
+ * Returns the remaining time for which a process wants no requests.
  *
- * @param notices - known so far
- * @param processName - of the replica
- * @param nowMs - the time
- * @returns milliseconds; 0 when it takes requests
+ * @param notices - notices received so far
+ * @param processName - name of the replica's process
+ * @param nowMs - current time
+ * @returns milliseconds; 0 if it accepts requests
  */
 export function backoffLeftMs (notices: ReplicaNotices, processName: string, nowMs: number): number {
   return Math.max(0, (notices.get(processName)?.backoffUntilMs ?? 0) - nowMs)
--- a/packages/bendfall-router/src/pools/BendfallRouterPoolBalance.ts
+++ b/packages/bendfall-router/src/pools/BendfallRouterPoolBalance.ts
@@ -1,24 +1,24 @@
 /**
- * Decides which model replicas change between the prefill and the decode pool,
- * so that both are equally loaded. Pure; bounded by the confirmed intent.
+ * Decides which model replicas move between the prefill and the decode pool, so that both are
+ * equally loaded. Pure, and bounded by the confirmed intent.
  *
  * @module
  */
 import type { ReplicaStage } from '../BendfallRouterTypes.js'
 import type { PoolIntent } from './BendfallRouterPoolIntent.js'
 
-/** A model replica as the balance sees it. */
+/** A model replica as seen by the balancer. */
 export interface PoolMember {
   readonly replicaId: string
   readonly availabilityZone: string
   readonly stage: ReplicaStage
-  /** Whether it answers, isn't draining and isn't changing its stage. */
+  /** Whether it responds, isn't draining and isn't changing its stage. */
   readonly isServing: boolean
-  /** Whether it gets no new work any more. */
+  /** Whether it is shutting down and receives no new work. */
   readonly isLeaving: boolean
 }
 
-/** Work of both pools, in replicas that it would keep busy; averages of the last seconds. */
+/** Work of both pools, as the number of replicas that it would keep busy, averaged over the last seconds. */
 export interface PoolWork {
   readonly prefill: number
   readonly decode: number
@@ -30,99 +30,99 @@
   readonly stage: ReplicaStage
 }
 
-/** Below this load of the busier pool nothing is gained by a change that takes a replica away for seconds. */
-const WORTHWHILE_LOAD = 0.6
+/** Minimum load of the busier pool for a change: below it nothing is gained by taking a replica out of service for seconds. */
+const MIN_REBALANCE_LOAD = 0.6
 
-/** A change must lower the load of the busier pool by this much. */
-const WORTHWHILE_GAIN = 0.15
+/** Minimum reduction of the load of the busier pool by a change. */
+const MIN_LOAD_REDUCTION = 0.15
 
-/** Work of both pools below this is none. */
-const NO_WORK = 0.05
+/** Total work of both pools below which they count as idle. */
+const IDLE_WORK = 0.05
 
-/** Fewest replicas of each pool. */
-const FEWEST = 1
+/** Minimum replicas in each pool. */
+const MIN_POOL_SIZE = 1
 
 /**
- * Share of the replicas that may be away, sick or changing while others change. In a
- * fleet of less than twenty each one that is away is a large part of its pool and is
- * back within seconds; of 84 one is sick at most times, and waiting for it would stop
- * all changes.
+ * Maximum share of the replicas that may be unavailable, unhealthy or changing while others change. In a
+ * fleet of less than twenty, each unavailable replica is a large part of its pool and is back
+ * within seconds; of 84, one is unhealthy most of the time, and waiting for it would block all
+ * changes.
  */
-const AWAY_SHARE = 0.05
+const MAX_UNAVAILABLE_SHARE = 0.05
 
 /**
- * Share of the replicas that change at once, since each is away for seconds: one of
- * twelve, four of 84. With one at a time 84 replicas followed a shift after minutes.
+ * Maximum share of the replicas that change at once, since each is out of service for seconds: one
+ * of twelve, four of 84. With one at a time, 84 replicas took minutes to follow a shift of the load.
  */
-const STEP_SHARE = 0.05
+const MAX_STEP_SHARE = 0.05
 
-/** Share of the replicas within which a gain is looked for: one replica of 84 is no clear gain, ten may be. */
-const REACH_SHARE = 0.12
+/** Maximum share of the replicas by which a considered split differs from the present one: moving one replica of 84 is no clear gain, moving ten may be. */
+const MAX_GOAL_DISTANCE_SHARE = 0.12
 
 /**
- * Decides about a service's pools.
+ * Decides which replicas of a service change their stage.
  *
- * @param members - its model replicas
- * @param work - measured work
- * @param intent - what operators confirmed
- * @returns changes to order; empty when the pools are well or a change is under way
+ * @param members - model replicas of the service
+ * @param work - measured work of its pools
+ * @param intent - the intent that operators confirmed
+ * @returns changes to order; empty if the pools are balanced or a change is in progress
  */
 export function balancePools (members: readonly PoolMember[], work: PoolWork, intent: PoolIntent): StageChange[] {
   const refill = refillPools(members)
   if (refill.length > 0) return refill
   const serving = members.filter(({ isServing }) => isServing)
-  if (serving.length < 2 * FEWEST) return []
-  if (members.length - serving.length > Math.floor(members.length * AWAY_SHARE)) return []
+  if (serving.length < 2 * MIN_POOL_SIZE) return []
+  if (members.length - serving.length > Math.floor(members.length * MAX_UNAVAILABLE_SHARE)) return []
   const prefills = serving.filter(({ stage }) => stage === 'prefill')
-  // Rounded down: decode replicas can read prompts themselves, and nothing stands in for their memory.
+  // Rounded down: decode replicas can prefill prompts themselves, but nothing replaces their memory.
   const goal = isIdle(work) ? clampPrefills(Math.floor(serving.length * intent.usualPrefillShare), serving.length, intent) : goalUnderLoad(prefills.length, serving.length, work, intent)
-  const aim = stepTowards(prefills.length, goal, serving.length, STEP_SHARE)
-  const surplus = prefills.length - aim
-  if (surplus > 0) return pick(prefills, surplus).map(({ replicaId }) => ({ replicaId, stage: 'decode' }))
+  const target = stepTowards(prefills.length, goal, serving.length, MAX_STEP_SHARE)
+  const surplus = prefills.length - target
+  if (surplus > 0) return pickMembers(prefills, surplus).map(({ replicaId }) => ({ replicaId, stage: 'decode' }))
   const decodes = serving.filter(({ stage }) => stage === 'decode')
-  return pick(decodes, -surplus).map(({ replicaId }) => ({ replicaId, stage: 'prefill' }))
+  return pickMembers(decodes, -surplus).map(({ replicaId }) => ({ replicaId, stage: 'prefill' }))
 }
 
 /**
- * Tells whether the pools have nothing to do.
+ * Returns whether the pools are idle.
  *
- * @param work - measured work
- * @returns true when it is less than one replica's in twenty
+ * @param work - measured work of both pools
+ * @returns true if it is less than a twentieth of one replica's
  */
 export function isIdle ({ decode, prefill }: PoolWork): boolean {
-  return prefill + decode < NO_WORK
+  return prefill + decode < IDLE_WORK
 }
 
 /**
- * Refills a pool that lost its last replica, whatever the load: without work to measure in
- * it, the loads would never ask for one. Decode goes first, since a decode replica reads
- * prompts itself: the last replica left is one.
+ * Refills a pool that lost its last replica, regardless of load: without measured work in it, the
+ * loads would never call for one. Decode comes first, since a decode replica prefills prompts itself:
+ * the last remaining replica is one.
  *
  * @param members - model replicas of a service
- * @returns the change to order; empty when no pool is empty or none can be refilled
+ * @returns the change to order; empty if no pool is empty or none can be refilled
  */
 export function refillPools (members: readonly PoolMember[]): StageChange[] {
   const staying = members.filter(({ isLeaving }) => !isLeaving)
   const serving = staying.filter(({ isServing }) => isServing)
   const has = (stage: ReplicaStage): boolean => staying.some((member) => member.stage === stage)
-  if (!has('decode')) return pick(serving, 1).map(({ replicaId }) => ({ replicaId, stage: 'decode' }))
-  if (has('prefill') || serving.length < 2 * FEWEST) return []
-  return pick(serving, 1).map(({ replicaId }) => ({ replicaId, stage: 'prefill' }))
+  if (!has('decode')) return pickMembers(serving, 1).map(({ replicaId }) => ({ replicaId, stage: 'decode' }))
+  if (has('prefill') || serving.length < 2 * MIN_POOL_SIZE) return []
+  return pickMembers(serving, 1).map(({ replicaId }) => ({ replicaId, stage: 'prefill' }))
 }
 
-// Only for a clear gain.
+// Moves away from the present split only for a clear gain.
 function goalUnderLoad (prefills: number, total: number, work: PoolWork, intent: PoolIntent): number {
   const present = busierLoad(prefills, total, work)
-  if (present < WORTHWHILE_LOAD) return prefills
-  const even = Math.round(total * work.prefill / (work.prefill + work.decode))
-  const goal = stepTowards(prefills, clampPrefills(even, total, intent), total, REACH_SHARE)
-  return busierLoad(goal, total, work) < present - WORTHWHILE_GAIN ? goal : prefills
+  if (present < MIN_REBALANCE_LOAD) return prefills
+  const balanced = Math.round(total * work.prefill / (work.prefill + work.decode))
+  const goal = stepTowards(prefills, clampPrefills(balanced, total, intent), total, MAX_GOAL_DISTANCE_SHARE)
+  return busierLoad(goal, total, work) < present - MIN_LOAD_REDUCTION ? goal : prefills
 }
 
-// At least one, so that small fleets change too.
+// At least one replica, so that small fleets change too.
 function stepTowards (present: number, goal: number, total: number, share: number): number {
-  const most = Math.max(1, Math.floor(total * share))
-  return present + Math.max(-most, Math.min(most, goal - present))
+  const maxStep = Math.max(1, Math.floor(total * share))
+  return present + Math.max(-maxStep, Math.min(maxStep, goal - present))
 }
 
 function busierLoad (prefills: number, total: number, work: PoolWork): number {
@@ -130,21 +130,21 @@
 }
 
 function clampPrefills (prefills: number, total: number, intent: PoolIntent): number {
-  const leastReplicas = Math.min(intent.leastPrefillReplicas, Math.floor(total / 2))
-  const least = Math.max(FEWEST, leastReplicas, Math.ceil(total * intent.leastPrefillShare))
-  const most = Math.min(total - FEWEST, Math.floor(total * intent.mostPrefillShare))
-  return Math.max(least, Math.min(Math.max(least, most), prefills))
+  const minReplicas = Math.min(intent.leastPrefillReplicas, Math.floor(total / 2))
+  const min = Math.max(MIN_POOL_SIZE, minReplicas, Math.ceil(total * intent.leastPrefillShare))
+  const max = Math.min(total - MIN_POOL_SIZE, Math.floor(total * intent.mostPrefillShare))
+  return Math.max(min, Math.min(Math.max(min, max), prefills))
 }
 
-// From the availability zones that have most of the pool, so that each keeps some.
-function pick (members: readonly PoolMember[], count: number): PoolMember[] {
-  const left = [...members]
+// Picks from the availability zones with the most members, so that each zone keeps some.
+function pickMembers (members: readonly PoolMember[], count: number): PoolMember[] {
+  const remaining = [...members]
   const picked: PoolMember[] = []
-  while (picked.length < count && left.length > 0) {
+  while (picked.length < count && remaining.length > 0) {
     const sizes = new Map<string, number>()
-    for (const { availabilityZone } of left) sizes.set(availabilityZone, (sizes.get(availabilityZone) ?? 0) + 1)
-    left.sort((a, b) => (sizes.get(b.availabilityZone) ?? 0) - (sizes.get(a.availabilityZone) ?? 0) || (a.replicaId < b.replicaId ? -1 : 1))
-    picked.push(left.shift() as PoolMember)
+    for (const { availabilityZone } of remaining) sizes.set(availabilityZone, (sizes.get(availabilityZone) ?? 0) + 1)
+    remaining.sort((a, b) => (sizes.get(b.availabilityZone) ?? 0) - (sizes.get(a.availabilityZone) ?? 0) || (a.replicaId < b.replicaId ? -1 : 1))
+    picked.push(remaining.shift() as PoolMember)
   }
   return picked
 }
--- a/packages/bendfall-router/src/pools/BendfallRouterPoolIntent.ts
+++ b/packages/bendfall-router/src/pools/BendfallRouterPoolIntent.ts
@@ -1,29 +1,29 @@
 /**
- * What operators allow the router to do with the pools of model replicas. It
- * acts on an intent only if its digest was confirmed.
+ * The operators' intent for the pools of model replicas. The router applies an intent only if its digest
+ * was confirmed.
  *
  * @module
  */
 import { digestJson } from 'bendfall-core'
 
-/** Shares of a service's model replicas that read prompts. */
+/** Shares of a service's model replicas that are prefill replicas. */
 export interface PoolIntent {
-  /** Aimed at while no work was measured. */
+  /** Used until work has been measured. */
   readonly usualPrefillShare: number
   readonly leastPrefillShare: number
-  /** Prefill replicas at the least, whatever the share; half of all at the most. A pool of two that loses one halves. */
+  /** Minimum number of prefill replicas regardless of the share, but at most half of all. A pool of two that loses one is halved. */
   readonly leastPrefillReplicas: number
   readonly mostPrefillShare: number
 }
 
-/** An intent as it stands in version control, with what operators confirmed. */
+/** An intent as stored in version control, with the operators' confirmation. */
 export interface PoolDocument {
   readonly intent: PoolIntent
-  /** Digest of the confirmed intent; empty while none is. */
+  /** Digest of the confirmed intent; empty if none is confirmed. */
   readonly confirmedDigest: string
 }
 
-/** Schema of the document; see JSON Schema. */
+/** JSON Schema of the document. */
 export const POOL_DOCUMENT_SCHEMA = {
   type: 'object',
   required: ['intent', 'confirmedDigest'],
@@ -45,9 +45,9 @@
 }
 
 /**
- * Digest that operators confirm.
+ * Returns the digest that operators confirm.
  *
- * @param intent - the intent
+ * @param intent - intent to be confirmed
  * @returns hexadecimal digits
  */
 export function digestPoolIntent (intent: PoolIntent): string {
@@ -55,10 +55,10 @@
 }
 
 /**
- * The intent in force.
+ * Returns the intent that is in effect.
  *
  * @param document - intent and confirmation
- * @returns the intent if it is the one that was confirmed
+ * @returns the intent if it is the confirmed one, otherwise undefined
  */
 export function confirmedIntent ({ confirmedDigest, intent }: PoolDocument): PoolIntent | undefined {
   return confirmedDigest === digestPoolIntent(intent) ? intent : undefined
