--- a/packages/bendfall-router/src/allotments/BendfallRouterAllotmentKeeper.ts
+++ b/packages/bendfall-router/src/allotments/BendfallRouterAllotmentKeeper.ts
@@ -64,36 +64,36 @@
 /**
  * Takes units from a customer's allotment.
  *
- * @param keeper - its buckets are changed in place
+ * @param state - its buckets are changed in place
  * @param customer - customer from the configuration that is active at the leader
  * @param units - units that the request needs
  * @param nowMs - current time
  * @returns whether the units were granted
  */
-export function takeOfAllotment (keeper: AllotmentKeeper, { allotment, name }: Customer, units: number, nowMs: number): TakeOutcome {
+export function takeOfAllotment (state: AllotmentKeeper, { allotment, name }: Customer, units: number, nowMs: number): TakeOutcome {
   if (allotment === undefined) return { type: 'granted' }
-  const limit = limitOf(keeper, allotment)
-  return limit.unitsPerS <= 0 ? { type: 'refused', retryAfterMs: 0 } : takeUnits(bucketOf(keeper, name, limit), limit, units, nowMs)
+  const limit = limitOf(state, allotment)
+  return limit.unitsPerS <= 0 ? { type: 'refused', retryAfterMs: 0 } : takeUnits(bucketOf(state, name, limit), limit, units, nowMs)
 }
 
 /**
  * Returns units to a customer's allotment.
  *
- * @param keeper - its buckets are changed in place
+ * @param state - its buckets are changed in place
  * @param customer - customer from the configuration that is active at the leader
  * @param units - units taken for a request that never ran
  * @param nowMs - current time
  */
-export function giveBackToAllotment (keeper: AllotmentKeeper, { allotment, name }: Customer, units: number, nowMs: number): void {
+export function giveBackToAllotment (state: AllotmentKeeper, { allotment, name }: Customer, units: number, nowMs: number): void {
   if (allotment === undefined) return
-  const limit = limitOf(keeper, allotment)
-  giveBackUnits(bucketOf(keeper, name, limit), limit, units, nowMs)
+  const limit = limitOf(state, allotment)
+  giveBackUnits(bucketOf(state, name, limit), limit, units, nowMs)
 }
 
 /**
  * Removes the buckets of customers that are no longer configured.
  *
- * @param keeper - its buckets are changed in place
+ * @param state - its buckets are changed in place
  * @param names - names of the customers that remain
  */
 export function keepCustomers ({ buckets }: AllotmentKeeper, names: ReadonlySet<string>): void {
--- a/packages/bendfall-router/src/allotments/BendfallRouterTokenBucket.ts
+++ b/packages/bendfall-router/src/allotments/BendfallRouterTokenBucket.ts
@@ -64,10 +64,10 @@
   }
   if (bucket.units + bucket.unknownUnits >= neededUnits) return { type: 'uncertain' }
   const msPerUnit = MS_PER_SECOND / limit.unitsPerS
-  const fitsAtMs = nowMs + (neededUnits - bucket.units) * msPerUnit
-  const returnsAtMs = Math.max(fitsAtMs, bucket.returnsUntilMs + units * msPerUnit)
-  bucket.returnsUntilMs = returnsAtMs
-  return { type: 'refused', retryAfterMs: returnsAtMs - nowMs }
+  const availableAtMs = nowMs + (neededUnits - bucket.units) * msPerUnit
+  const retryAtMs = Math.max(availableAtMs, bucket.returnsUntilMs + units * msPerUnit)
+  bucket.returnsUntilMs = retryAtMs
+  return { type: 'refused', retryAfterMs: retryAtMs - nowMs }
 }
 
 /**
--- a/packages/bendfall-router/src/limits/BendfallRouterPermitKeeper.ts
+++ b/packages/bendfall-router/src/limits/BendfallRouterPermitKeeper.ts
@@ -134,14 +134,14 @@
 /**
  * Leases permits to an entry, and updates the limit from what the entry reports of the replica.
  *
- * @param keeper - its limits are changed in place
+ * @param state - its limits are changed in place
  * @param request - request of the entry
  * @param nowMs - current time
  * @param share - share of each limit that may be leased, from 0 to 1
  * @returns the leased permits and the current limit
  */
-export function leasePermits (keeper: PermitKeeper, request: PermitAsk, nowMs: number, share = 1): PermitOutcome {
-  const limit = limitOf(keeper, request, nowMs)
+export function leasePermits (state: PermitKeeper, request: PermitAsk, nowMs: number, share = 1): PermitOutcome {
+  const limit = limitOf(state, request, nowMs)
   updateLimit(limit, request, nowMs)
   recordEntry(limit, request.entry, nowMs)
   const { perS } = limit
@@ -156,7 +156,7 @@
 /**
  * Lists the limits that replicas currently advertise.
  *
- * @param keeper - state of the leader
+ * @param state - state of the leader
  * @returns the limits
  */
 export function namedLimits ({ limits }: PermitKeeper): NamedLimit[] {
