--- a/packages/bendfall-router/src/ledger/BendfallRouterForecast.ts
+++ b/packages/bendfall-router/src/ledger/BendfallRouterForecast.ts
@@ -49,8 +49,8 @@
   })
 }
 
-function freedBy (occupants: readonly Allocation[], atMs: number): number {
-  return occupants.reduce((sum, { endMs, endTokens }) => endMs <= atMs ? sum + endTokens : sum, 0)
+function freedBy (allocations: readonly Allocation[], atMs: number): number {
+  return allocations.reduce((sum, { endMs, endTokens }) => endMs <= atMs ? sum + endTokens : sum, 0)
 }
 
 /**
@@ -86,18 +86,18 @@
 
 // Memory only grows between the ends of requests, so that it peaks at an end, at a start or at the
 // beginning of the period.
-function peakTimes (occupants: readonly Allocation[], fromMs: number): number[] {
+function peakTimes (allocations: readonly Allocation[], fromMs: number): number[] {
   const times = [fromMs]
-  for (const { endMs, startMs } of occupants) {
+  for (const { endMs, startMs } of allocations) {
     if (endMs > fromMs) times.push(endMs)
     if (startMs > fromMs) times.push(startMs)
   }
   return times
 }
 
-function occupiedAt (occupants: readonly Allocation[], timeMs: number): number {
+function occupiedAt (allocations: readonly Allocation[], timeMs: number): number {
   let tokens = 0
-  for (const { endMs, endTokens, startMs, startTokens } of occupants) {
+  for (const { endMs, endTokens, startMs, startTokens } of allocations) {
     if (timeMs < startMs || timeMs > endMs) continue
     const share = endMs === startMs ? 1 : (timeMs - startMs) / (endMs - startMs)
     tokens += startTokens + share * (endTokens - startTokens)
