--- a/packages/bendfallctl/src/BendfallctlCheck.ts
+++ b/packages/bendfallctl/src/BendfallctlCheck.ts
@@ -1,5 +1,6 @@
 /**
- * The command `check`: findings about settings and intents, offline.
+ * Implements the command `check`: validates a settings or intent file without
+ * calling any service.
  *
  * @module
  */
@@ -11,14 +12,14 @@
 import { findingsResult } from './BendfallctlIntentFile.js'
 import { INTENT_SCHEMA } from './BendfallctlIntentSchema.js'
 
-/** Kinds of documents. */
+/** Kinds of documents that `check` accepts. */
 export type DocumentKind = 'intent' | 'settings'
 
 type Check = (value: unknown, file: string) => CommandResult
 
 const ANY_DOCUMENT = {}
 
-/** Keys that only one kind of document has. */
+/** Top-level keys that occur in only one kind of document. */
 const TELLING_KEYS: Readonly<Record<DocumentKind, readonly string[]>> = {
   intent: ['pools', 'models', 'classes', 'withdrawn'],
   settings: ['role', 'instanceId', 'listen', 'platform']
@@ -33,10 +34,10 @@
 }
 
 /**
- * Checks a file.
+ * Validates a file as settings or as an intent, whichever its keys indicate.
  *
- * @param path - path of the file
- * @returns all findings; exit `findings` when one stands in the way
+ * @param path - path of a JSON file
+ * @returns all findings; exit `findings` if at least one blocks the use of the file
  */
 export async function runCheck (path: string): Promise<CommandResult> {
   const read = await readDocument<unknown>(ANY_DOCUMENT, path)
@@ -46,7 +47,7 @@
   return findingsResult([{ file: path, pointer: '', expected: 'settings or an intent', found: 'keys of neither' }])
 }
 
-/** The kind of which most telling keys are there. */
+/** Returns the kind with the most distinctive keys present, or undefined if there are none. */
 function detectKind (value: unknown): DocumentKind | undefined {
   if (typeof value !== 'object' || value === null) return undefined
   const countOf = (kind: DocumentKind): number => TELLING_KEYS[kind].filter((key) => Object.hasOwn(value, key)).length
--- a/packages/bendfallctl/src/BendfallctlConfirm.ts
+++ b/packages/bendfallctl/src/BendfallctlConfirm.ts
@@ -1,6 +1,7 @@
 /**
- * Confirms a plan: one compare-and-swap against the revision that the plan was
- * made from, so that of several operators one wins and nothing is half done.
+ * Confirms a plan with a single compare-and-swap against the revision that the
+ * plan is based on. Of several concurrent operators exactly one succeeds, and a
+ * plan is never applied partially.
  *
  * @module
  */
@@ -10,44 +11,44 @@
 import type { PlanFailure, PlanPorts, PlanRequest } from './BendfallctlPlan.js'
 import { makePlan, readStoredConfig } from './BendfallctlPlan.js'
 
-/** Pauses before each reading back of a lost answer. */
+/** Delays before each attempt to read the configuration back after a lost response. */
 const READ_BACK_PAUSES_MS: readonly number[] = [0, 100, 250, 500, 1_000, 2_000, 2_000, 2_000]
 
-/** What a confirmation needs beside the plan's input. */
+/** Parameters of a confirmation, in addition to those of the plan. */
 export interface ConfirmRequest extends PlanRequest {
-  /** Digest of the plan that the operator read. */
+  /** Digest of the plan that the operator reviewed. */
   readonly digest: string
-  /** Names this write; unique for each confirmation. */
+  /** Identifies this write; unique for each confirmation. */
   readonly writeId: string
-  /** Waits; tests put virtual time in its place. */
+  /** Waits for a number of milliseconds; tests replace it to run in virtual time. */
   readonly pause: (waitMs: number) => Promise<void>
 }
 
-/** Why the plan of the digest is not the plan of this moment. */
+/** Why the plan with the given digest is no longer the current plan. */
 export type ConflictReason = 'plan_changed' | 'written_by_other'
 
 /** Outcome of a confirmation. */
 export type ConfirmOutcome =
   | { readonly type: 'confirmed', readonly version: number, readonly revision: number, readonly writeId: string }
-  /** The intent is in force already. */
+  /** The intent is already in force. */
   | { readonly type: 'in_force', readonly version: number }
   | { readonly type: 'blocked', readonly plan: Plan }
-  /** Nothing was changed; `plan` is the fresh one, when it could be made. */
+  /** Nothing was changed; `plan` is the new plan, if one could be made. */
   | { readonly type: 'conflict', readonly reason: ConflictReason, readonly plan?: Plan }
-  /** The write was sent as `sentVersion`; whether it took effect can't be read from the higher version that stands. */
+  /** The write was sent as `sentVersion`, but a higher version is stored, which does not show whether the write took effect. */
   | { readonly type: 'superseded', readonly version: number, readonly sentVersion: number, readonly writeId: string }
-  /** The write was sent, and whether it took effect could not be read. */
+  /** The write was sent, but the configuration could not be read back to see whether it took effect. */
   | { readonly type: 'unresolved', readonly writeId: string, readonly detail: string }
   | { readonly type: 'failed', readonly failure: PlanFailure }
 
 type Settled = Exclude<ConfirmOutcome, { type: 'blocked' | 'in_force' }>
 
 /**
- * Confirms the plan that has a digest.
+ * Plans the intent again and writes the result if its digest is the expected one.
  *
- * @param ports - the services
- * @param request - intent, digest and write id
- * @returns the outcome
+ * @param ports - key-value service and instance list to plan from and write to
+ * @param request - intent, expected digest and write id
+ * @returns what was written, or why nothing was or may have been written
  */
 export async function confirmPlan (ports: PlanPorts, request: ConfirmRequest): Promise<ConfirmOutcome> {
   const made = await makePlan(ports, request)
@@ -82,9 +83,10 @@
 }
 
 /**
- * A lost answer leaves open whether the write took effect, or still will. Each
- * round reads back first. Only when the old revision still stands is the same
- * write sent again: both expect the same revision, so at most one takes effect.
+ * Finds out whether a write without a response took effect, or may still take
+ * effect. Each round first reads the configuration back. The same write is sent
+ * again only while the old revision is stored: both writes expect that revision,
+ * so at most one takes effect.
  */
 async function resolveLostAnswer (keyValue: KeyValuePort, plan: Plan, config: Config, request: ConfirmRequest, write: () => Promise<WriteOutcome>): Promise<Settled> {
   let detail = 'no answer'
--- a/packages/bendfallctl/src/BendfallctlConfirmText.ts
+++ b/packages/bendfallctl/src/BendfallctlConfirmText.ts
@@ -1,5 +1,6 @@
 /**
- * Outcomes of a confirmation as results of the command `confirm`.
+ * Converts outcomes of a confirmation to exit codes and texts of the command
+ * `confirm`.
  *
  * @module
  */
@@ -33,10 +34,10 @@
 }
 
 /**
- * Describes an outcome.
+ * Describes an outcome for operators.
  *
- * @param outcome - outcome of the confirmation
- * @returns the result of the command
+ * @param outcome - any outcome of {@link confirmPlan}
+ * @returns exit code and text, with the outcome itself as JSON
  */
 export function describeConfirm (outcome: ConfirmOutcome): CommandResult {
   const describe = DESCRIPTIONS[outcome.type] as Describe<OutcomeType>
--- a/packages/bendfallctl/src/BendfallctlCrashes.ts
+++ b/packages/bendfallctl/src/BendfallctlCrashes.ts
@@ -1,6 +1,6 @@
 /**
- * Shows the requests under which replicas crashed, as entries told each other, and has all
- * entries forget them.
+ * Lists the requests suspected of crashing replicas, from the crash reports that entries
+ * publish in the key-value service, and clears those suspicions on all entries.
  *
  * @module
  */
@@ -12,28 +12,28 @@
 import type { CommandResult } from './BendfallctlExit.js'
 import { formatTable } from './BendfallctlTable.js'
 
-/** A request and the processes of replicas that ended under it. */
+/** A request and the replica processes that crashed while serving it. */
 export interface CrashSuspect {
   readonly fingerprint: string
   readonly processes: readonly string[]
-  /** Entries that saw one of the crashes. */
+  /** Entries that observed at least one of the crashes. */
   readonly seenBy: readonly string[]
 }
 
 interface StoredCrashes {
   readonly suspects: readonly CrashSuspect[]
   readonly digest: string
-  /** Reports that could not be read, and why. */
+  /** Reasons why reports could not be decoded, one for each such report. */
   readonly unread: readonly string[]
 }
 
 type ReadCrashes = { readonly type: 'read', readonly crashes: StoredCrashes } | { readonly type: 'outage', readonly detail: string }
 
 /**
- * Lists the suspects.
+ * Lists the suspected requests.
  *
- * @param port - key-value service of the entries
- * @returns the list with its digest
+ * @param port - key-value service that the entries use
+ * @returns the suspects and the digest that {@link clearCrashes} expects
  */
 export async function listCrashes (port: KeyValuePort): Promise<CommandResult> {
   const read = await readCrashes(port)
@@ -49,12 +49,12 @@
 }
 
 /**
- * Has all entries forget all crashes.
+ * Makes all entries discard all recorded crashes.
  *
- * @param port - key-value service of the entries
- * @param digest - of the list that was shown
- * @param now - names this wish; differs each time
- * @returns what was done; nothing when the list is another one by now
+ * @param port - key-value service that the entries use
+ * @param digest - digest of the list that the operator reviewed
+ * @param now - identifies this clear operation; must differ for each call
+ * @returns what was done; exit `conflict` with no change if the list has changed since
  */
 export async function clearCrashes (port: KeyValuePort, digest: string, now: Date): Promise<CommandResult> {
   const read = await readCrashes(port)
--- a/packages/bendfallctl/src/BendfallctlCrashesCommands.ts
+++ b/packages/bendfallctl/src/BendfallctlCrashesCommands.ts
@@ -1,5 +1,6 @@
 /**
- * The commands `crashes` and `crashes-clear`.
+ * Defines the commands `crashes` and `crashes-clear`, which list and clear the
+ * requests suspected of crashing replicas.
  *
  * @module
  */
@@ -10,11 +11,11 @@
 import type { CommandResult } from './BendfallctlExit.js'
 import { OUTPUT_ARGS, printResult } from './BendfallctlOutput.js'
 
-const STORE_ARG = { store: { type: 'string', required: true, valueHint: 'IP:PORT', description: 'Key-value service of the entries' } } as const
+const STORE_ARG = { store: { type: 'string', required: true, valueHint: 'IP:PORT', description: 'Address of the key-value service that the entries use' } } as const
 
 /** `bendfallctl crashes` */
 export const crashesCommand = defineCommand({
-  meta: { name: 'crashes', description: 'List the requests under which replicas crashed' },
+  meta: { name: 'crashes', description: 'List the requests suspected of crashing replicas' },
   args: { ...STORE_ARG, ...OUTPUT_ARGS },
   run: async ({ args }) => {
     printResult(await withStore(args.store, listCrashes), args.json ?? false)
@@ -23,10 +24,10 @@
 
 /** `bendfallctl crashes-clear` */
 export const crashesClearCommand = defineCommand({
-  meta: { name: 'crashes-clear', description: 'Have all entries forget those requests, so that they are served again' },
+  meta: { name: 'crashes-clear', description: 'Clear the list on all entries, so that the requests are served again' },
   args: {
     ...STORE_ARG,
-    digest: { type: 'string', required: true, valueHint: 'DIGEST', description: 'Digest that the list showed' },
+    digest: { type: 'string', required: true, valueHint: 'DIGEST', description: 'Digest printed by crashes' },
     ...OUTPUT_ARGS
   },
   run: async ({ args }) => {
--- a/packages/bendfallctl/src/BendfallctlExit.ts
+++ b/packages/bendfallctl/src/BendfallctlExit.ts
@@ -1,30 +1,30 @@
 /**
- * What a command gives back: an exit code, and its result for people and for
- * programs.
+ * Defines the result of a command: an exit code, a text for people and a value
+ * for programs.
  *
  * @module
  */
 
-/** Exit codes of the commands. */
+/** Process exit codes, shared by all commands. */
 export const EXIT_CODES = {
   done: 0,
   failed: 1,
   /** The input has findings; nothing was changed. */
   findings: 2,
-  /** Somebody else was faster; nothing was changed. */
+  /** Another operator was faster; nothing was changed. */
   conflict: 3,
   /** A service or a process could not be reached. */
   outage: 4
 } as const
 
-/** How a command ended. */
+/** Names of the exit codes. */
 export type ExitName = keyof typeof EXIT_CODES
 
-/** Result of a command. */
+/** Result of a command in both output formats. */
 export interface CommandResult {
   readonly exit: ExitName
-  /** Result for people, without a line feed at the end. */
+  /** Text output, without a trailing line feed. */
   readonly text: string
-  /** Result for programs. */
+  /** Value that `--json` prints. */
   readonly json: unknown
 }
--- a/packages/bendfallctl/src/BendfallctlExplain.ts
+++ b/packages/bendfallctl/src/BendfallctlExplain.ts
@@ -1,6 +1,6 @@
 /**
- * Tells the story of one request, or lists the failed ones by cause, from the
- * logs of several processes.
+ * Merges the logs of several processes to show all lines of one request, or to
+ * list the failed requests by cause.
  *
  * @module
  */
@@ -12,45 +12,46 @@
 import { readLogLine } from './BendfallctlLogLine.js'
 import type { LogLine } from './BendfallctlLogLine.js'
 
-/** Requests whose end is awaited at most; the oldest are forgotten beyond it, so that a log of any size can be read. */
+/** Maximum number of unfinished requests to track. Beyond it the oldest are dropped, so that a log of any size can be read. */
 const MOST_OPEN = 100_000
 
-/** Ids shown of each cause. */
+/** Maximum number of request ids listed for each cause. */
 const SHOWN_IDS = 5
 
-/** Lines of a request that tell what went wrong before its end. */
+/** Events that show what went wrong with a request before its terminal event. */
 const TROUBLES: ReadonlySet<string> = new Set([
   'crash_cause', 'memory_occupied', 'permits_lacking', 'prefill_failed', 'prefill_slot_refused', 'prefill_slot_unreachable', 'reservation_refused', 'reservation_unreachable', 'retried', 'run_failed', 'try_timed_out', 'units_refused'
 ])
 
-/** Ends of a request without its whole answer. */
+/** Terminal events of requests that did not get a complete response. */
 const FAILED_ENDS: ReadonlySet<string> = new Set(['refused', 'cut', 'cancelled'])
 
-/** Requests that failed for one cause. */
+/** Requests that failed for the same cause. */
 export interface FailureCause {
   readonly cause: string
   readonly count: number
-  /** Some of their ids. */
+  /** Ids of at most {@link SHOWN_IDS} of these requests. */
   readonly requestIds: readonly string[]
 }
 
 interface ReadOutcome {
+  /** Number of lines that could not be parsed. */
   readonly unreadLines: number
-  /** Files that could not be read, and why. */
+  /** Paths of files that could not be read, each with the reason. */
   readonly unreadFiles: readonly string[]
 }
 
 /**
- * Tells the story of one request.
+ * Collects all log lines of one request.
  *
  * @param requestId - id of the request
- * @param files - logs of entries and sidecars, in any order
- * @returns the lines by time; `failed` when no line has the id, `findings` when a file can't be read
+ * @param files - paths of logs of entries and sidecars, in any order
+ * @returns the lines in order of time; exit `failed` if no line has the id, `findings` if a file can't be read
  */
 export async function explainRequest (requestId: string, files: readonly string[]): Promise<CommandResult> {
   const lines: LogLine[] = []
   const outcome = await readFiles(files, (line) => { if (requestOf(line) === requestId) lines.push(line) })
-  // A stable sort: lines of one instance stay in the order in which it wrote them.
+  // The sort is stable: lines of one instance with the same time stay in the order in which it wrote them.
   lines.sort((a, b) => a.timeMs - b.timeMs)
   const firstMs = lines[0]?.timeMs ?? 0
   const story = lines.map((line) => describe(line, firstMs))
@@ -60,11 +61,11 @@
 }
 
 /**
- * Lists the requests that failed, by cause; those that were late, by the step that
- * took longest; and the outcomes of each second.
+ * Lists failed requests by cause, late responses by the step with the longest
+ * wait, and the number of outcomes in each second.
  *
- * @param files - logs of entries, in any order
- * @returns causes, the most frequent first
+ * @param files - paths of logs of entries, in any order
+ * @returns the causes, most frequent first; exit `findings` if a file can't be read
  */
 export async function explainFailures (files: readonly string[]): Promise<CommandResult> {
   const troubles = new Map<string, string>()
@@ -73,7 +74,7 @@
   const outcome = await readFiles(files, (line) => {
     noteLine(line, troubles, causes)
     const requestId = requestOf(line)
-    // Sidecars write of a request beside its entry; the entry's lines alone are its steps.
+    // Sidecars log the same request concurrently with its entry. Only the entry's lines, which have the field `request`, are steps.
     if (requestId !== undefined && line.fields.has('request')) losses.take(requestId, line)
   })
   const rows = [...causes].map(([cause, ids]): FailureCause => ({ cause, count: ids.length, requestIds: ids.slice(0, SHOWN_IDS) })).sort((a, b) => b.count - a.count)
@@ -120,7 +121,7 @@
   return [...words, trouble === undefined ? undefined : `after ${trouble}`].filter((part) => part !== undefined).join(' ')
 }
 
-// Sidecars know a request by its bookings, whose names are its id and a number.
+// Lines of a sidecar name a booking instead of a request; a booking id is the request id and a number.
 function requestOf ({ fields }: LogLine): string | undefined {
   const booking = fields.get('booking')
   return fields.get('request') ?? (booking === undefined ? undefined : booking.slice(0, booking.lastIndexOf('/')))
--- a/packages/bendfallctl/src/BendfallctlExplainCommand.ts
+++ b/packages/bendfallctl/src/BendfallctlExplainCommand.ts
@@ -1,5 +1,5 @@
 /**
- * The command `explain`.
+ * Defines the command `explain`, which shows from log files why requests failed.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 
 /** `bendfallctl explain` */
 export const explainCommand = defineCommand({
-  meta: { name: 'explain', description: 'Tell from logs why a request failed: explain ID FILE..., or explain --failures FILE...' },
+  meta: { name: 'explain', description: 'Show from logs why a request failed: explain ID FILE..., or explain --failures FILE...' },
   args: {
     failures: { type: 'boolean', description: 'List all failed requests by cause' },
     ...OUTPUT_ARGS
--- a/packages/bendfallctl/src/BendfallctlExplainLosses.ts
+++ b/packages/bendfallctl/src/BendfallctlExplainLosses.ts
@@ -1,42 +1,43 @@
 /**
- * What was lost over time, from log lines: late answers by the step that took
- * longest, and the outcomes of each second.
+ * Aggregates log lines of requests: late responses by the step with the longest
+ * wait, and the number of outcomes in each second.
  *
  * @module
  */
 import type { LogLine } from './BendfallctlLogLine.js'
 
-/** Requests whose end is awaited at most; the oldest are forgotten beyond it, so that a log of any size can be read. */
+/** Maximum number of unfinished requests to track. Beyond it the oldest are dropped, so that a log of any size can be read. */
 const MOST_OPEN = 100_000
 
-/** Longest time over which seconds are told apart; a longer log is one of days, to be cut first. */
+/** Maximum time span in seconds to count outcomes for: one day. A longer log has to be split first. */
 const MOST_SECONDS = 86_400
 
 const MS_PER_SECOND = 1_000
 
-/** How a request ended, or that its answer was late. */
+/** Outcomes of a request, in the order of the table columns; `late` is a complete response that missed its target time. */
 export const LOSS_COLUMNS = ['answered', 'late', 'refused', 'cut', 'cancelled'] as const
 
 type LossColumn = (typeof LOSS_COLUMNS)[number]
 
-/** Outcomes of the requests that ended in one second. */
+/** Number of requests for each outcome that ended in one second. */
 export type SecondOfLosses = { readonly second: number } & Readonly<Record<LossColumn, number>>
 
-/** Late answers for one cause. */
+/** Late responses with the same cause. */
 export interface LateCause {
-  /** Step before which the longest wait lay. */
+  /** Event that ended the longest wait. */
   readonly cause: string
   readonly count: number
-  /** Mean length of that wait. */
+  /** Mean duration of that wait. */
   readonly meanMs: number
 }
 
-/** Takes the lines of requests and sums them up. */
+/** Aggregates outcomes from log lines. */
 export interface LossRecorder {
+  /** Processes the next log line of a request. */
   readonly take: (requestId: string, line: LogLine) => void
-  /** @returns causes of late answers, the most frequent first */
+  /** @returns causes of late responses, most frequent first */
   readonly late: () => LateCause[]
-  /** @returns seconds from the first end on; those without an end are left out */
+  /** @returns outcomes by second, counted from the first terminal event; seconds without one are omitted */
   readonly seconds: () => SecondOfLosses[]
 }
 
@@ -50,9 +51,9 @@
 const ENDS: ReadonlySet<string> = new Set(['answered', 'refused', 'cut', 'cancelled'])
 
 /**
- * Makes a recorder.
+ * Creates a recorder.
  *
- * @returns the recorder
+ * @returns a recorder without any lines
  */
 export function createLossRecorder (): LossRecorder {
   const open = new Map<string, OpenRequest>()
@@ -65,7 +66,7 @@
     open.set(requestId, request)
     if (open.size > MOST_OPEN) open.delete(open.keys().next().value as string)
     const waitedMs = timeMs - request.lastMs
-    // After its first event an answer is only slow where a pause is long, which its own line tells.
+    // Once output has started, delays are gaps within the stream; the response's own log line has the longest one.
     if (!request.hasBegun && waitedMs > request.longestMs) {
       request.longestMs = waitedMs
       request.longestStep = event
--- a/packages/bendfallctl/src/BendfallctlIntentFile.ts
+++ b/packages/bendfallctl/src/BendfallctlIntentFile.ts
@@ -1,5 +1,5 @@
 /**
- * Reads intents from files.
+ * Reads intent files and reports findings about input files.
  *
  * @module
  */
@@ -11,20 +11,20 @@
 import { INTENT_SCHEMA } from './BendfallctlIntentSchema.js'
 
 /**
- * Reads an intent.
+ * Reads an intent and validates it against {@link INTENT_SCHEMA}.
  *
- * @param path - path of the JSON file
- * @returns the intent, of the right shape, or all findings
+ * @param path - path of a JSON file
+ * @returns the intent, or all findings about the file
  */
 export async function readIntent (path: string): Promise<Result<Intent, Finding[]>> {
   return await readDocument<Intent>(INTENT_SCHEMA, path)
 }
 
 /**
- * Turns findings about input into the result of a command.
+ * Converts findings about the input to the result of a command.
  *
- * @param findings - the findings
- * @returns the result
+ * @param findings - at least one finding
+ * @returns a result with exit `findings`
  */
 export function findingsResult (findings: readonly Finding[]): CommandResult {
   return { exit: 'findings', text: formatFindings(findings), json: { findings } }
--- a/packages/bendfallctl/src/BendfallctlIntentSchema.ts
+++ b/packages/bendfallctl/src/BendfallctlIntentSchema.ts
@@ -1,5 +1,6 @@
 /**
- * JSON schema of intents. Nothing has a default: an intent says all it means.
+ * JSON schema of intents. No property has a default value, so that an intent is
+ * complete on its own.
  *
  * @module
  */
@@ -59,5 +60,5 @@
   assignments: recordOf(NAME)
 }
 
-/** JSON schema of an intent. */
+/** JSON schema of an intent; all sections except `assignments` are required. */
 export const INTENT_SCHEMA: Schema = closedObject(SECTIONS, Object.keys(SECTIONS).filter((name) => name !== 'assignments'))
--- a/packages/bendfallctl/src/BendfallctlLogLine.ts
+++ b/packages/bendfallctl/src/BendfallctlLogLine.ts
@@ -1,21 +1,21 @@
 /**
- * Reads log lines of bendfall's processes: key=value pairs, values with spaces
- * quoted as JSON.
+ * Parses log lines of bendfall processes: key=value pairs, where values with
+ * spaces are quoted as JSON strings.
  *
  * @module
  */
 
-/** One line of a log. */
+/** A parsed log line. */
 export interface LogLine {
-  /** Wall clock of the instance that wrote it, in milliseconds since 1970. */
+  /** Wall clock of the instance that wrote the line, in milliseconds since 1970. */
   readonly timeMs: number
   readonly instance: string
   readonly event: string
-  /** All pairs but time, level, instance and event, in their order. */
+  /** All pairs except time, level, instance and event, in the order of the line. */
   readonly fields: ReadonlyMap<string, string>
 }
 
-/** Collectors put their own columns before the line. */
+/** Matches a line at its `time` pair, since log collectors may prepend columns of their own. */
 const LINE_START = /(?:^|\s)(time=\d{4}-.*)$/
 
 const PAIR = /([A-Za-z_][\w.]*)=("(?:[^"\\]|\\.)*"|[^\s"]*)(?=\s|$)/gy
@@ -23,10 +23,10 @@
 const OWN_KEYS: ReadonlySet<string> = new Set(['time', 'level', 'instance', 'event'])
 
 /**
- * Reads a line.
+ * Parses a line.
  *
- * @param text - the line, without its line feed
- * @returns the line, or undefined when it is none of bendfall's or was cut
+ * @param text - the line without its line feed
+ * @returns the parsed line, or undefined if it is not from bendfall or is truncated
  */
 export function readLogLine (text: string): LogLine | undefined {
   const start = LINE_START.exec(text)?.[1]
@@ -34,7 +34,7 @@
   const timeMs = Date.parse(pairs?.get('time') ?? '')
   const event = pairs?.get('event')
   const instance = pairs?.get('instance')
-  // Every line names its instance before what it tells: without one it was cut.
+  // Every line has its instance before its other fields, so a line without one is truncated.
   if (pairs === undefined || event === undefined || instance === undefined || Number.isNaN(timeMs)) return undefined
   const fields = new Map([...pairs].filter(([key]) => !OWN_KEYS.has(key)))
   return { timeMs, event, instance, fields }
--- a/packages/bendfallctl/src/BendfallctlMain.ts
+++ b/packages/bendfallctl/src/BendfallctlMain.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
- * Binary of the operators command line. A command loads only what it needs: its start is most of
- * the time that it takes, above all on a machine that is short of processors.
+ * Entry point of the operators' command line. Each command imports only the modules that it needs,
+ * because start-up is most of a command's run time, especially on a machine with few processors.
  *
  * @module
  */
--- a/packages/bendfallctl/src/BendfallctlOutput.ts
+++ b/packages/bendfallctl/src/BendfallctlOutput.ts
@@ -1,5 +1,5 @@
 /**
- * Writes results to standard output and the log to standard error.
+ * Prints results to standard output and log messages to standard error.
  *
  * @module
  */
@@ -9,19 +9,19 @@
 
 const MS_PER_SECOND = 1_000
 
-/** Log of the command line; keeps standard output for results. */
+/** Logger of the command line. It writes to standard error, since standard output is reserved for results. */
 export const log = createConsola({ stdout: process.stderr, stderr: process.stderr })
 
 /**
- * Logs how long a command has run when a step of it ends; shown with `CONSOLA_LEVEL=4`.
+ * Logs the time since process start at the end of a step; shown with `CONSOLA_LEVEL=4`.
  *
- * @param step - what has ended
+ * @param step - description of the step that ended
  */
 export function noteStep (step: string): void {
   log.debug(`${step} after ${Math.round(process.uptime() * MS_PER_SECOND)} ms`)
 }
 
-/** Arguments of every command. */
+/** Output arguments that every command accepts. */
 export const OUTPUT_ARGS = {
   json: { type: 'boolean', description: 'Print JSON instead of text' }
 } as const
@@ -29,8 +29,8 @@
 /**
  * Prints a result and sets the exit code of the process.
  *
- * @param result - the result
- * @param asJson - whether to print the form for programs
+ * @param result - result of the command
+ * @param asJson - true to print the JSON value instead of the text
  */
 export function printResult (result: CommandResult, asJson: boolean): void {
   const text = asJson ? JSON.stringify(result.json, null, 2) : result.text
--- a/packages/bendfallctl/src/BendfallctlPeers.ts
+++ b/packages/bendfallctl/src/BendfallctlPeers.ts
@@ -1,5 +1,5 @@
 /**
- * Asks the running processes themselves.
+ * Sends requests to the running processes of the instance list.
  *
  * @module
  */
@@ -14,28 +14,28 @@
 const CONNECT_TIMEOUT_MS = 1_000
 const ANSWER_TIMEOUT_MS = 2_000
 
-/** Sender of the command line's messages: no process, so no version. */
+/** Sender of requests of the command line. It is not a bendfall process, so it has no configuration version. */
 const SENDER: SenderInit = { instanceId: 'bendfallctl' }
 
-/** What goes with each question. */
+/** Parameters for a request to one process. */
 export interface PeerCall {
   readonly peer: Connection['peer']
   readonly sender: SenderInit
   readonly options: { readonly timeoutMs: number }
 }
 
-/** Answer of one process. */
+/** Response of one process. */
 export interface PeerAnswer<T> {
   readonly record: InstanceRecord
-  /** Absent when the process gave none. */
+  /** Absent if the process did not respond. */
   readonly answer?: T
 }
 
 /**
  * Reads the instance list.
  *
- * @param instances - the list
- * @returns the records, or the result of a command that cannot go on
+ * @param instances - service that provides the list
+ * @returns all records, or the result with which the command has to end
  */
 export async function listInstances (instances: InstanceListPort): Promise<Result<readonly InstanceRecord[], CommandResult>> {
   const outcome = await instances.list()
@@ -45,11 +45,11 @@
 }
 
 /**
- * Asks processes at once.
+ * Sends a request to several processes concurrently.
  *
- * @param records - the processes
- * @param ask - one question
- * @returns the answers, in the order of the records
+ * @param records - processes to call
+ * @param callPeer - sends the request to one process
+ * @returns the responses, in the order of the records; a process that fails or times out has none
  */
 export async function askProcesses<T> (records: readonly InstanceRecord[], ask: (call: PeerCall) => Promise<T>): Promise<ReadonlyArray<PeerAnswer<T>>> {
   const connections = createConnections(CONNECT_TIMEOUT_MS)
@@ -63,10 +63,10 @@
 }
 
 /**
- * Names the processes that gave no answer.
+ * Lists the processes that did not respond.
  *
- * @param answers - answers of all
- * @returns their instance ids
+ * @param answers - responses from {@link callProcesses}
+ * @returns ids of the instances without a response
  */
 export function silentInstances (answers: ReadonlyArray<PeerAnswer<unknown>>): readonly string[] {
   return answers.filter((one) => one.answer === undefined).map((one) => one.record.instanceId)
--- a/packages/bendfallctl/src/BendfallctlPlan.ts
+++ b/packages/bendfallctl/src/BendfallctlPlan.ts
@@ -1,5 +1,6 @@
 /**
- * Makes plans from what the platform's services hold now.
+ * Makes plans from the configuration and the instance list that the platform's
+ * services currently hold, for the commands `plan` and `confirm`.
  *
  * @module
  */
@@ -11,16 +12,16 @@
 import type { CommandResult } from './BendfallctlExit.js'
 import { formatPlan } from './BendfallctlPlanText.js'
 
-/** The services that plans are made from. */
+/** Services that a plan is based on. */
 export interface PlanPorts {
   readonly keyValue: KeyValuePort
   readonly instances: InstanceListPort
 }
 
-/** What an operator hands in. */
+/** Input of an operator. */
 export interface PlanRequest {
   readonly intent: Intent
-  /** Rate of the weight store, for the estimates; 0 when not known. */
+  /** Throughput of the weight store, for the estimates; 0 if unknown. */
   readonly weightStoreBytesPerSecond: number
 }
 
@@ -32,7 +33,7 @@
   readonly revision: number
 }
 
-/** Why no plan could be made. */
+/** Why no plan could be made: a service is unavailable, or the stored configuration is invalid. */
 export interface PlanFailure {
   readonly kind: 'unavailable' | 'unreadable'
   readonly detail: string
@@ -41,8 +42,8 @@
 /**
  * Reads the stored configuration.
  *
- * @param keyValue - the key-value service
- * @returns configuration and revision, or why it could not be read
+ * @param keyValue - service that stores the configuration
+ * @returns configuration and revision, or why they could not be read
  */
 export async function readStoredConfig (keyValue: KeyValuePort): Promise<Result<StoredConfig, PlanFailure>> {
   const read = await keyValue.get(CONFIG_KEY)
@@ -54,10 +55,10 @@
 }
 
 /**
- * Plans an intent against configuration and instances of this moment.
+ * Plans an intent against the current configuration and instances.
  *
- * @param ports - the services
- * @param request - what the operator handed in
+ * @param ports - services to read from
+ * @param request - intent and rate of the weight store
  * @returns the plan, or why none could be made
  */
 export async function makePlan (ports: PlanPorts, request: PlanRequest): Promise<Result<Plan, PlanFailure>> {
@@ -76,9 +77,9 @@
 /**
  * Runs the command `plan`.
  *
- * @param ports - the services
- * @param request - what the operator handed in
- * @returns the plan; exit `findings` when it cannot be confirmed
+ * @param ports - services to read from
+ * @param request - intent and rate of the weight store
+ * @returns the plan; exit `findings` if it cannot be confirmed
  */
 export async function runPlan (ports: PlanPorts, request: PlanRequest): Promise<CommandResult> {
   const made = await makePlan(ports, request)
@@ -88,10 +89,10 @@
 }
 
 /**
- * Turns a failure into the result of a command.
+ * Converts a failure to the result of a command.
  *
  * @param failure - why no plan could be made
- * @returns the result
+ * @returns a result with exit `outage` if a service is unavailable, otherwise `failed`
  */
 export function failedResult (failure: PlanFailure): CommandResult {
   const exit = failure.kind === 'unavailable' ? 'outage' : 'failed'
--- a/packages/bendfallctl/src/BendfallctlPlanCommands.ts
+++ b/packages/bendfallctl/src/BendfallctlPlanCommands.ts
@@ -1,5 +1,5 @@
 /**
- * The commands `plan` and `confirm`.
+ * Defines the commands `plan` and `confirm`.
  *
  * @module
  */
@@ -20,7 +20,7 @@
 
 const PLAN_ARGS = {
   intent: { type: 'string', required: true, valueHint: 'FILE', description: 'Intent to plan' },
-  [RATE_ARG]: { type: 'string', valueHint: 'N', description: 'Rate of the weight store, for the estimates' },
+  [RATE_ARG]: { type: 'string', valueHint: 'N', description: 'Throughput of the weight store, for the estimates' },
   ...TARGET_ARGS,
   ...OUTPUT_ARGS
 } as const
@@ -45,7 +45,7 @@
 export const confirmCommand = defineCommand({
   meta: { name: 'confirm', description: 'Put a plan into force' },
   args: {
-    digest: { type: 'string', required: true, valueHint: 'DIGEST', description: 'Digest that the plan showed' },
+    digest: { type: 'string', required: true, valueHint: 'DIGEST', description: 'Digest printed by plan' },
     ...PLAN_ARGS
   },
   run: async ({ args }) => {
--- a/packages/bendfallctl/src/BendfallctlPlanText.ts
+++ b/packages/bendfallctl/src/BendfallctlPlanText.ts
@@ -1,5 +1,5 @@
 /**
- * Plans for a terminal.
+ * Formats plans for a terminal.
  *
  * @module
  */
@@ -8,10 +8,10 @@
 import { formatBytes, formatTable } from './BendfallctlTable.js'
 
 /**
- * Writes a plan for people.
+ * Formats a plan.
  *
- * @param plan - the plan
- * @returns the sections that have content, then the digest to confirm
+ * @param plan - any plan, including one without changes
+ * @returns the non-empty sections, then the command that confirms the plan or why it can't be confirmed
  */
 export function formatPlan (plan: Plan): string {
   const sections = [
@@ -28,10 +28,10 @@
 }
 
 /**
- * Writes the findings of a plan.
+ * Formats the findings of a plan.
  *
- * @param findings - the findings
- * @returns a table; empty without findings
+ * @param findings - findings in the order of the rows
+ * @returns a table; empty text without findings
  */
 export function formatFindings (findings: readonly IntentFinding[]): string {
   return formatTable(
--- a/packages/bendfallctl/src/BendfallctlPools.ts
+++ b/packages/bendfallctl/src/BendfallctlPools.ts
@@ -1,5 +1,5 @@
 /**
- * Plans and confirms the intent for the pools of model replicas.
+ * Plans and confirms the intent for the sizes of the prefill and decode pools.
  *
  * @module
  */
@@ -10,18 +10,18 @@
 import type { CommandResult } from './BendfallctlExit.js'
 import { findingsResult } from './BendfallctlIntentFile.js'
 
-/** Pools as they are, or as they are expected. */
+/** Number of replicas in each pool, actual or expected. */
 export interface PoolCounts {
   readonly prefills: number
   readonly decodes: number
 }
 
 /**
- * Shows what an intent would change.
+ * Shows how many replicas an intent would move between the pools.
  *
- * @param path - file with the intent
- * @param counts - replicas of each pool
- * @returns plan and digest, or findings
+ * @param path - path of the file with the intent
+ * @param counts - replicas of each pool before the change
+ * @returns the moves and the digest to confirm, or findings about the file
  */
 export async function planPools (path: string, counts: PoolCounts): Promise<CommandResult> {
   const read = await readDocument<PoolDocument>(POOL_DOCUMENT_SCHEMA, path)
@@ -42,11 +42,12 @@
 }
 
 /**
- * Confirms an intent: processes that start from then on act on it.
+ * Confirms an intent by writing its digest into its file. Processes that start
+ * afterwards apply it.
  *
- * @param path - file with the intent
- * @param digest - digest that the plan showed
- * @returns what was done; nothing when the intent is another one by now
+ * @param path - path of the file with the intent
+ * @param digest - digest of the intent that the operator reviewed
+ * @returns what was done; exit `conflict` with no change if the intent has changed since
  */
 export async function confirmPools (path: string, digest: string): Promise<CommandResult> {
   const read = await readDocument<PoolDocument>(POOL_DOCUMENT_SCHEMA, path)
--- a/packages/bendfallctl/src/BendfallctlPoolsCommands.ts
+++ b/packages/bendfallctl/src/BendfallctlPoolsCommands.ts
@@ -1,5 +1,5 @@
 /**
- * The commands `pools-plan` and `pools-confirm`.
+ * Defines the commands `pools-plan` and `pools-confirm`.
  *
  * @module
  */
@@ -14,8 +14,8 @@
   meta: { name: 'pools-plan', description: 'Show what the intent for the pools would change' },
   args: {
     ...FILE_ARG,
-    prefills: { type: 'string', default: '4', valueHint: 'N', description: 'Prefill replicas as they are' },
-    decodes: { type: 'string', default: '8', valueHint: 'N', description: 'Decode replicas as they are' },
+    prefills: { type: 'string', default: '4', valueHint: 'N', description: 'Current number of prefill replicas' },
+    decodes: { type: 'string', default: '8', valueHint: 'N', description: 'Current number of decode replicas' },
     ...OUTPUT_ARGS
   },
   run: async ({ args }) => {
@@ -28,7 +28,7 @@
   meta: { name: 'pools-confirm', description: 'Confirm the intent for the pools' },
   args: {
     ...FILE_ARG,
-    digest: { type: 'string', required: true, valueHint: 'DIGEST', description: 'Digest that the plan showed' },
+    digest: { type: 'string', required: true, valueHint: 'DIGEST', description: 'Digest printed by pools-plan' },
     ...OUTPUT_ARGS
   },
   run: async ({ args }) => {
--- a/packages/bendfallctl/src/BendfallctlProcessCommands.ts
+++ b/packages/bendfallctl/src/BendfallctlProcessCommands.ts
@@ -1,5 +1,5 @@
 /**
- * The commands `check`, `drain`, `status` and `timeline`.
+ * Defines the commands `check`, `drain`, `status` and `timeline`.
  *
  * @module
  */
@@ -17,7 +17,7 @@
 
 /** `bendfallctl status` */
 export const statusCommand = defineCommand({
-  meta: { name: 'status', description: 'Show what each process has in force and does' },
+  meta: { name: 'status', description: 'Show configuration version, state and load of each process' },
   args: PROCESS_ARGS,
   run: async ({ args }) => {
     printResult(await withTarget(args, (target) => runStatus(target.instances, target.keyValue)), args.json ?? false)
@@ -26,7 +26,7 @@
 
 /** `bendfallctl drain INSTANCE` */
 export const drainCommand = defineCommand({
-  meta: { name: 'drain', description: 'Ask one process to finish its work and to stop' },
+  meta: { name: 'drain', description: 'Stop one process after it has finished its work' },
   args: { instance: { type: 'positional', required: true, description: 'Instance to drain' }, ...PROCESS_ARGS },
   run: async ({ args }) => {
     printResult(await withTarget(args, (target) => runDrain(target.instances, args.instance)), args.json ?? false)
--- a/packages/bendfallctl/src/BendfallctlProcesses.ts
+++ b/packages/bendfallctl/src/BendfallctlProcesses.ts
@@ -1,5 +1,5 @@
 /**
- * The commands `drain` and `timeline`.
+ * Implements the commands `drain` and `timeline`, which call running processes.
  *
  * @module
  */
@@ -9,12 +9,12 @@
 import { askProcesses, listInstances, silentInstances } from './BendfallctlPeers.js'
 
 /**
- * Asks one process to stop gracefully. An instance that should stay without
- * work belongs into the intent's `withdrawn` instead.
+ * Requests the graceful stop of one process. To keep an instance out of service
+ * permanently, list it in the intent's `withdrawn` instead.
  *
- * @param instances - the instance list
- * @param instanceId - the instance
- * @returns the result of the command
+ * @param instances - service that provides the address of the instance
+ * @param instanceId - id of the instance to stop
+ * @returns exit `findings` if the instance is not listed, `outage` if it does not respond
  */
 export async function runDrain (instances: InstanceListPort, instanceId: string): Promise<CommandResult> {
   const listed = await listInstances(instances)
@@ -29,11 +29,11 @@
 }
 
 /**
- * Reads the time line of all processes in causal order.
+ * Merges the timelines of all processes in causal order.
  *
- * @param instances - the instance list
- * @param subject - request or `config/VERSION`; empty for all
- * @returns the result of the command
+ * @param instances - service that provides the addresses of the processes
+ * @param subject - request id or `config/VERSION`; empty for all events
+ * @returns the events, and the processes that did not respond
  */
 export async function runTimeline (instances: InstanceListPort, subject: string): Promise<CommandResult> {
   const listed = await listInstances(instances)
--- a/packages/bendfallctl/src/BendfallctlStatus.ts
+++ b/packages/bendfallctl/src/BendfallctlStatus.ts
@@ -1,5 +1,6 @@
 /**
- * The command `status`: what each process has in force and does.
+ * Implements the command `status`, which reports configuration version, state
+ * and load of each process.
  *
  * @module
  */
@@ -13,7 +14,7 @@
 
 const MS_PER_SECOND = 1_000
 
-/** One process. */
+/** Status of one process. */
 export interface ProcessStatus {
   readonly instanceId: string
   readonly availabilityZone: string
@@ -24,27 +25,27 @@
   readonly activeRequests: number
   readonly heldKvBytes: number
   readonly uptimeMs: number
-  /** Progress of the orders of the configuration in force. */
+  /** Progress in applying the configuration in force. */
   readonly reconcile: Readonly<Record<string, unknown>>
 }
 
-/** All processes. */
+/** Status of all listed processes. */
 export interface StatusReport {
-  /** Version in the key-value service; absent when it could not be read. */
+  /** Configuration version in the key-value service; absent if it could not be read. */
   readonly storedVersion?: number
-  /** Number of processes at each version, highest first. */
+  /** Number of processes at each configuration version, highest version first. */
   readonly versions: ReadonlyArray<{ readonly version: number, readonly processes: number }>
   readonly processes: readonly ProcessStatus[]
-  /** Listed processes that gave no answer. */
+  /** Ids of listed processes that did not respond. */
   readonly silent: readonly string[]
 }
 
 /**
  * Runs the command `status`.
  *
- * @param instances - the instance list
- * @param keyValue - the key-value service, if its address is known
- * @returns the report
+ * @param instances - service that provides the addresses of the processes
+ * @param keyValue - service that stores the configuration, if its address is known
+ * @returns a {@link StatusReport} as table and JSON
  */
 export async function runStatus (instances: InstanceListPort, keyValue: KeyValuePort | undefined): Promise<CommandResult> {
   const listed = await listInstances(instances)
--- a/packages/bendfallctl/src/BendfallctlTable.ts
+++ b/packages/bendfallctl/src/BendfallctlTable.ts
@@ -1,16 +1,16 @@
 /**
- * Tables for a terminal.
+ * Formats tables and byte counts for a terminal.
  *
  * @module
  */
 const COLUMN_GAP = '  '
 
 /**
- * Lays out rows in columns.
+ * Formats rows as a table with aligned columns.
  *
  * @param header - names of the columns
- * @param rows - cells, as many a row as the header has
- * @returns the lines, joined; empty without rows
+ * @param rows - cells of each row, as many as the header has
+ * @returns the table with its header; empty text without rows
  */
 export function formatTable (header: readonly string[], rows: ReadonlyArray<readonly string[]>): string {
   if (rows.length === 0) return ''
@@ -20,10 +20,10 @@
 }
 
 /**
- * Writes a number of bytes for people.
+ * Formats a number of bytes in the largest fitting binary unit.
  *
- * @param bytes - number of bytes
- * @returns the number in its largest binary unit
+ * @param bytes - non-negative number of bytes
+ * @returns number with at most one decimal, and unit
  */
 export function formatBytes (bytes: number): string {
   const units = ['B', 'KiB', 'MiB', 'GiB', 'TiB']
--- a/packages/bendfallctl/src/BendfallctlTarget.ts
+++ b/packages/bendfallctl/src/BendfallctlTarget.ts
@@ -1,5 +1,6 @@
 /**
- * Where the platform's services are, from arguments or a settings file.
+ * Connects to the platform's services, whose addresses come from arguments or
+ * from a settings file.
  *
  * @module
  */
@@ -24,15 +25,15 @@
   readonly instances?: string
 }
 
-/** The instance list and, where its address is known, the key-value service. */
+/** Clients of the instance list and, if its address is known, of the key-value service. */
 export interface Target {
   readonly instances: InstanceListPort
   readonly keyValue?: KeyValuePort
-  /** Frees the connections. */
+  /** Closes the connections. */
   readonly close: () => Promise<void>
 }
 
-/** Both services. */
+/** A target with clients of both services. */
 export type FullTarget = Target & { readonly keyValue: KeyValuePort }
 
 interface Urls {
@@ -41,11 +42,11 @@
 }
 
 /**
- * Opens the instance list, and the key-value service if its address is known.
- * Arguments go before the settings file.
+ * Connects to the instance list, and to the key-value service if its address is
+ * known. Arguments take precedence over the settings file.
  *
- * @param args - the arguments
- * @returns the services, or findings about arguments or file
+ * @param args - addresses, or path of a settings file
+ * @returns the clients, or findings about the arguments or the file
  */
 export async function openTarget (args: TargetArgs): Promise<Result<Target, readonly Finding[]>> {
   const urls = await resolveUrls(args)
@@ -53,10 +54,10 @@
 }
 
 /**
- * Opens both services. Arguments go before the settings file.
+ * Connects to both services. Arguments take precedence over the settings file.
  *
- * @param args - the arguments
- * @returns the services, or findings about arguments or file
+ * @param args - addresses, or path of a settings file
+ * @returns the clients, or findings about the arguments or the file
  */
 export async function openFullTarget (args: TargetArgs): Promise<Result<FullTarget, readonly Finding[]>> {
   const urls = await resolveUrls(args)
--- a/packages/bendfallctl/src/index.ts
+++ b/packages/bendfallctl/src/index.ts
@@ -1,5 +1,6 @@
 /**
- * The operators command line: plan, confirm, status, drain, timeline, check.
+ * Command line for operators: plan, confirm, status, drain, timeline, explain,
+ * crashes and check.
  *
  * @module
  */
