--- a/packages/bendfallctl/src/BendfallctlCheck.ts
+++ b/packages/bendfallctl/src/BendfallctlCheck.ts
@@ -20,7 +20,7 @@
 const ANY_DOCUMENT = {}
 
 /** Top-level keys that occur in only one kind of document. */
-const TELLING_KEYS: Readonly<Record<DocumentKind, readonly string[]>> = {
+const DISTINCTIVE_KEYS: Readonly<Record<DocumentKind, readonly string[]>> = {
   intent: ['pools', 'models', 'classes', 'withdrawn'],
   settings: ['role', 'instanceId', 'listen', 'platform']
 }
@@ -50,8 +50,8 @@
 /** Returns the kind with the most distinctive keys present, or undefined if there are none. */
 function detectKind (value: unknown): DocumentKind | undefined {
   if (typeof value !== 'object' || value === null) return undefined
-  const countOf = (kind: DocumentKind): number => TELLING_KEYS[kind].filter((key) => Object.hasOwn(value, key)).length
-  const [intentKeys, settingsKeys] = [countOf('intent'), countOf('settings')]
+  const countKeys = (kind: DocumentKind): number => DISTINCTIVE_KEYS[kind].filter((key) => Object.hasOwn(value, key)).length
+  const [intentKeys, settingsKeys] = [countKeys('intent'), countKeys('settings')]
   if (intentKeys + settingsKeys === 0) return undefined
   return intentKeys > settingsKeys ? 'intent' : 'settings'
 }
--- a/packages/bendfallctl/src/BendfallctlConfirm.ts
+++ b/packages/bendfallctl/src/BendfallctlConfirm.ts
@@ -12,7 +12,7 @@
 import { makePlan, readStoredConfig } from './BendfallctlPlan.js'
 
 /** Delays before each attempt to read the configuration back after a lost response. */
-const READ_BACK_PAUSES_MS: readonly number[] = [0, 100, 250, 500, 1_000, 2_000, 2_000, 2_000]
+const READ_BACK_DELAYS_MS: readonly number[] = [0, 100, 250, 500, 1_000, 2_000, 2_000, 2_000]
 
 /** Parameters of a confirmation, in addition to those of the plan. */
 export interface ConfirmRequest extends PlanRequest {
@@ -41,7 +41,7 @@
   | { readonly type: 'unresolved', readonly writeId: string, readonly detail: string }
   | { readonly type: 'failed', readonly failure: PlanFailure }
 
-type Settled = Exclude<ConfirmOutcome, { type: 'blocked' | 'in_force' }>
+type WritePlanOutcome = Exclude<ConfirmOutcome, { type: 'blocked' | 'in_force' }>
 
 /**
  * Plans the intent again and writes the result if its digest is the expected one.
@@ -51,14 +51,14 @@
  * @returns what was written, or why nothing was or may have been written
  */
 export async function confirmPlan (ports: PlanPorts, request: ConfirmRequest): Promise<ConfirmOutcome> {
-  const made = await makePlan(ports, request)
-  if (made.isErr()) return { type: 'failed', failure: made.error }
-  const plan = made.value
+  const planned = await makePlan(ports, request)
+  if (planned.isErr()) return { type: 'failed', failure: planned.error }
+  const plan = planned.value
   if (!plan.isChange) return { type: 'in_force', version: plan.baseVersion }
   if (plan.digest !== request.digest) return { type: 'conflict', reason: 'plan_changed', plan }
   if (!isConfirmable(plan)) return { type: 'blocked', plan }
-  const settled = await writePlan(ports.keyValue, plan, request)
-  return settled.type === 'conflict' ? await withFreshPlan(ports, request) : settled
+  const written = await writePlan(ports.keyValue, plan, request)
+  return written.type === 'conflict' ? await withFreshPlan(ports, request) : written
 }
 
 async function withFreshPlan (ports: PlanPorts, request: PlanRequest): Promise<ConfirmOutcome> {
@@ -67,7 +67,7 @@
   return fresh.isOk() ? { ...conflict, plan: fresh.value } : conflict
 }
 
-async function writePlan (keyValue: KeyValuePort, plan: Plan, request: ConfirmRequest): Promise<Settled> {
+async function writePlan (keyValue: KeyValuePort, plan: Plan, request: ConfirmRequest): Promise<WritePlanOutcome> {
   const config = { ...plan.next, writeId: request.writeId }
   const write = (): Promise<WriteOutcome> => keyValue.compareAndSwap({
     key: CONFIG_KEY,
@@ -88,9 +88,9 @@
  * again only while the old revision is stored: both writes expect that revision,
  * so at most one takes effect.
  */
-async function resolveLostAnswer (keyValue: KeyValuePort, plan: Plan, config: Config, request: ConfirmRequest, write: () => Promise<WriteOutcome>): Promise<Settled> {
+async function resolveLostAnswer (keyValue: KeyValuePort, plan: Plan, config: Config, request: ConfirmRequest, write: () => Promise<WriteOutcome>): Promise<WritePlanOutcome> {
   let detail = 'no answer'
-  for (const waitMs of READ_BACK_PAUSES_MS) {
+  for (const waitMs of READ_BACK_DELAYS_MS) {
     await request.pause(waitMs)
     const stored = await readStoredConfig(keyValue)
     if (stored.isErr()) {
@@ -98,7 +98,7 @@
       continue
     }
     const { config: found, revision } = stored.value
-    if (revision !== plan.baseRevision) return judgeReadBack(config, found, revision)
+    if (revision !== plan.baseRevision) return classifyReadBack(config, found, revision)
     const outcome = await write()
     if (outcome.type === 'applied') return confirmed(config, outcome.revision)
     if (outcome.type !== 'conflict') detail = outcome.detail
@@ -106,13 +106,13 @@
   return { type: 'unresolved', writeId: config.writeId, detail }
 }
 
-function judgeReadBack (sent: Config, found: Config | undefined, revision: number): Settled {
+function classifyReadBack (sent: Config, found: Config | undefined, revision: number): WritePlanOutcome {
   if (found?.writeId === sent.writeId) return confirmed(sent, revision)
-  const isBeyond = found !== undefined && found.version > sent.version
-  if (isBeyond) return { type: 'superseded', version: found.version, sentVersion: sent.version, writeId: sent.writeId }
+  const isNewer = found !== undefined && found.version > sent.version
+  if (isNewer) return { type: 'superseded', version: found.version, sentVersion: sent.version, writeId: sent.writeId }
   return { type: 'conflict', reason: 'written_by_other' }
 }
 
-function confirmed (config: Config, revision: number): Settled {
+function confirmed (config: Config, revision: number): WritePlanOutcome {
   return { type: 'confirmed', version: config.version, revision, writeId: config.writeId }
 }
--- a/packages/bendfallctl/src/BendfallctlCrashes.ts
+++ b/packages/bendfallctl/src/BendfallctlCrashes.ts
@@ -61,9 +61,9 @@
   if (read.type === 'outage') return outage(read.detail)
   const { crashes } = read
   if (crashes.digest !== digest) return { exit: 'conflict', text: `The list has changed; its digest is ${crashes.digest}. Nothing was forgotten.`, json: { digest: crashes.digest, isCleared: false } }
-  const former = await port.get(CRASHES_CLEARED_KEY)
-  if (former.type === 'unavailable') return outage(former.detail)
-  const expectedRevision = former.type === 'found' ? former.entry.revision : 0
+  const previous = await port.get(CRASHES_CLEARED_KEY)
+  if (previous.type === 'unavailable') return outage(previous.detail)
+  const expectedRevision = previous.type === 'found' ? previous.entry.revision : 0
   const written = await port.compareAndSwap({ key: CRASHES_CLEARED_KEY, expectedRevision, value: now.toISOString(), leaseId: '' })
   if (written.type === 'applied') return { exit: 'done', text: 'All entries forget all crashes.', json: { digest, isCleared: true } }
   if (written.type === 'conflict') return { exit: 'conflict', text: 'Another operator cleared the list at the same time.', json: { digest, isCleared: false } }
@@ -80,10 +80,10 @@
   const cleared = await port.get(CRASHES_CLEARED_KEY)
   if (cleared.type === 'unavailable') return { type: 'outage', detail: cleared.detail }
   const sinceRevision = cleared.type === 'found' ? cleared.entry.revision : 0
-  return { type: 'read', crashes: gather(listed.entries.filter(({ revision }) => revision > sinceRevision)) }
+  return { type: 'read', crashes: mergeReports(listed.entries.filter(({ revision }) => revision > sinceRevision)) }
 }
 
-function gather (entries: readonly KeyValueEntry[]): StoredCrashes {
+function mergeReports (entries: readonly KeyValueEntry[]): StoredCrashes {
   const records = createCrashRecords()
   const seenBy = new Map<string, string[]>()
   const unread: string[] = []
@@ -96,11 +96,11 @@
     takeReport(records, report.value, false, 0)
     for (const { fingerprint } of report.value.suspects) seenBy.set(fingerprint, [...seenBy.get(fingerprint) ?? [], key.slice(CRASH_PREFIX.length)])
   }
-  const suspects = toSuspects(records, seenBy)
+  const suspects = listSuspects(records, seenBy)
   return { suspects, digest: digestJson(suspects), unread }
 }
 
-function toSuspects ({ suspects }: CrashRecords, seenBy: ReadonlyMap<string, readonly string[]>): CrashSuspect[] {
+function listSuspects ({ suspects }: CrashRecords, seenBy: ReadonlyMap<string, readonly string[]>): CrashSuspect[] {
   const all = [...suspects].map(([fingerprint, times]) => ({ fingerprint, processes: [...times.keys()].sort(), seenBy: [...seenBy.get(fingerprint) ?? []].sort() }))
   return all.filter(({ processes }) => processes.length > 0).sort((one, other) => other.processes.length - one.processes.length || (one.fingerprint < other.fingerprint ? -1 : 1))
 }
--- a/packages/bendfallctl/src/BendfallctlExplain.ts
+++ b/packages/bendfallctl/src/BendfallctlExplain.ts
@@ -13,24 +13,24 @@
 import type { LogLine } from './BendfallctlLogLine.js'
 
 /** Maximum number of unfinished requests to track. Beyond it the oldest are dropped, so that a log of any size can be read. */
-const MOST_OPEN = 100_000
+const MAX_OPEN_REQUESTS = 100_000
 
 /** Maximum number of request ids listed for each cause. */
-const SHOWN_IDS = 5
+const MAX_SHOWN_IDS = 5
 
 /** Events that show what went wrong with a request before its terminal event. */
-const TROUBLES: ReadonlySet<string> = new Set([
+const INTERMEDIATE_FAILURES: ReadonlySet<string> = new Set([
   'crash_cause', 'memory_occupied', 'permits_lacking', 'prefill_failed', 'prefill_slot_refused', 'prefill_slot_unreachable', 'reservation_refused', 'reservation_unreachable', 'retried', 'run_failed', 'try_timed_out', 'units_refused'
 ])
 
 /** Terminal events of requests that did not get a complete response. */
-const FAILED_ENDS: ReadonlySet<string> = new Set(['refused', 'cut', 'cancelled'])
+const FAILED_END_EVENTS: ReadonlySet<string> = new Set(['refused', 'cut', 'cancelled'])
 
 /** Requests that failed for the same cause. */
 export interface FailureCause {
   readonly cause: string
   readonly count: number
-  /** Ids of at most {@link SHOWN_IDS} of these requests. */
+  /** Ids of at most {@link MAX_SHOWN_IDS} of these requests. */
   readonly requestIds: readonly string[]
 }
 
@@ -50,14 +50,14 @@
  */
 export async function explainRequest (requestId: string, files: readonly string[]): Promise<CommandResult> {
   const lines: LogLine[] = []
-  const outcome = await readFiles(files, (line) => { if (requestOf(line) === requestId) lines.push(line) })
+  const outcome = await readFiles(files, (line) => { if (requestIdOf(line) === requestId) lines.push(line) })
   // The sort is stable: lines of one instance with the same time stay in the order in which it wrote them.
   lines.sort((a, b) => a.timeMs - b.timeMs)
   const firstMs = lines[0]?.timeMs ?? 0
-  const story = lines.map((line) => describe(line, firstMs))
-  const text = [...(lines.length === 0 ? [`no line has the request ${requestId}`] : story), ...remarks(outcome)].join('\n')
+  const formattedLines = lines.map((line) => formatLine(line, firstMs))
+  const text = [...(lines.length === 0 ? [`no line has the request ${requestId}`] : formattedLines), ...formatUnread(outcome)].join('\n')
   const json = { requestId, lines: lines.map(({ fields, ...line }) => ({ ...line, fields: Object.fromEntries(fields) })), ...outcome }
-  return { exit: exitOf(outcome, lines.length > 0), text, json }
+  return { exit: exitNameOf(outcome, lines.length > 0), text, json }
 }
 
 /**
@@ -68,21 +68,21 @@
  * @returns the causes, most frequent first; exit `findings` if a file can't be read
  */
 export async function explainFailures (files: readonly string[]): Promise<CommandResult> {
-  const troubles = new Map<string, string>()
+  const lastFailures = new Map<string, string>()
   const causes = new Map<string, string[]>()
   const losses = createLossRecorder()
   const outcome = await readFiles(files, (line) => {
-    noteLine(line, troubles, causes)
-    const requestId = requestOf(line)
+    recordLine(line, lastFailures, causes)
+    const requestId = requestIdOf(line)
     // Sidecars log the same request concurrently with its entry. Only the entry's lines, which have the field `request`, are steps.
     if (requestId !== undefined && line.fields.has('request')) losses.take(requestId, line)
   })
-  const rows = [...causes].map(([cause, ids]): FailureCause => ({ cause, count: ids.length, requestIds: ids.slice(0, SHOWN_IDS) })).sort((a, b) => b.count - a.count)
+  const rows = [...causes].map(([cause, ids]): FailureCause => ({ cause, count: ids.length, requestIds: ids.slice(0, MAX_SHOWN_IDS) })).sort((a, b) => b.count - a.count)
   const text = rows.map(({ cause, count, requestIds }) => `${String(count).padStart(6)}  ${cause}  ${requestIds.join(' ')}`)
   const late = losses.late()
   const seconds = losses.seconds()
-  const lines = [...(rows.length === 0 ? ['no failed request'] : text), ...describeLate(late), ...describeSeconds(seconds), ...remarks(outcome)]
-  return { exit: exitOf(outcome, true), text: lines.join('\n'), json: { causes: rows, late, seconds, ...outcome } }
+  const lines = [...(rows.length === 0 ? ['no failed request'] : text), ...describeLate(late), ...describeSeconds(seconds), ...formatUnread(outcome)]
+  return { exit: exitNameOf(outcome, true), text: lines.join('\n'), json: { causes: rows, late, seconds, ...outcome } }
 }
 
 function describeLate (late: readonly LateCause[]): string[] {
@@ -95,51 +95,51 @@
   return ['', head, ...seconds.map((row) => [row.second, ...LOSS_COLUMNS.map((name) => row[name])].map((value) => String(value).padStart(9)).join(' '))]
 }
 
-function noteLine (line: LogLine, troubles: Map<string, string>, causes: Map<string, string[]>): void {
-  const requestId = requestOf(line)
+function recordLine (line: LogLine, lastFailures: Map<string, string>, causes: Map<string, string[]>): void {
+  const requestId = requestIdOf(line)
   if (requestId === undefined) return
-  if (TROUBLES.has(line.event)) {
-    troubles.set(requestId, describeTrouble(line))
-    if (troubles.size > MOST_OPEN) troubles.delete(troubles.keys().next().value as string)
+  if (INTERMEDIATE_FAILURES.has(line.event)) {
+    lastFailures.set(requestId, describeFailure(line))
+    if (lastFailures.size > MAX_OPEN_REQUESTS) lastFailures.delete(lastFailures.keys().next().value as string)
     return
   }
-  if (FAILED_ENDS.has(line.event)) {
-    const cause = describeEnd(line, troubles.get(requestId))
+  if (FAILED_END_EVENTS.has(line.event)) {
+    const cause = describeEnd(line, lastFailures.get(requestId))
     const ids = causes.get(cause) ?? []
     ids.push(requestId)
     causes.set(cause, ids)
   }
-  if (FAILED_ENDS.has(line.event) || line.event === 'answered') troubles.delete(requestId)
+  if (FAILED_END_EVENTS.has(line.event) || line.event === 'answered') lastFailures.delete(requestId)
 }
 
-function describeTrouble ({ event, fields }: LogLine): string {
+function describeFailure ({ event, fields }: LogLine): string {
   return [event, fields.get('fingerprint') ?? fields.get('role') ?? fields.get('failure') ?? fields.get('cause') ?? fields.get('phase')].filter((part) => part !== undefined).join(' ')
 }
 
-function describeEnd ({ event, fields }: LogLine, trouble: string | undefined): string {
+function describeEnd ({ event, fields }: LogLine, lastFailure: string | undefined): string {
   const words = [event, fields.get('status'), fields.get('reason'), fields.has('phase') ? `in ${fields.get('phase')}` : undefined]
-  return [...words, trouble === undefined ? undefined : `after ${trouble}`].filter((part) => part !== undefined).join(' ')
+  return [...words, lastFailure === undefined ? undefined : `after ${lastFailure}`].filter((part) => part !== undefined).join(' ')
 }
 
 // Lines of a sidecar name a booking instead of a request; a booking id is the request id and a number.
-function requestOf ({ fields }: LogLine): string | undefined {
+function requestIdOf ({ fields }: LogLine): string | undefined {
   const booking = fields.get('booking')
   return fields.get('request') ?? (booking === undefined ? undefined : booking.slice(0, booking.lastIndexOf('/')))
 }
 
-function describe ({ event, fields, instance, timeMs }: LogLine, firstMs: number): string {
+function formatLine ({ event, fields, instance, timeMs }: LogLine, firstMs: number): string {
   const pairs = [...fields].filter(([key]) => key !== 'request').map(([key, value]) => `${key}=${value}`)
   return `${String(timeMs - firstMs).padStart(7)} ms  ${instance}  ${event}  ${pairs.join(' ')}`.trimEnd()
 }
 
-async function readFiles (files: readonly string[], take: (line: LogLine) => void): Promise<ReadOutcome> {
+async function readFiles (files: readonly string[], onLine: (line: LogLine) => void): Promise<ReadOutcome> {
   const unreadFiles: string[] = []
   let unreadLines = 0
   for (const file of files) {
     try {
       for await (const text of createInterface({ input: createReadStream(file), crlfDelay: Infinity })) {
         const line = readLogLine(text)
-        if (line !== undefined) take(line)
+        if (line !== undefined) onLine(line)
         else if (text.trim() !== '') unreadLines += 1
       }
     } catch (error) {
@@ -149,12 +149,12 @@
   return { unreadFiles, unreadLines }
 }
 
-function remarks ({ unreadFiles, unreadLines }: ReadOutcome): string[] {
+function formatUnread ({ unreadFiles, unreadLines }: ReadOutcome): string[] {
   const lines = unreadLines === 0 ? [] : [`${unreadLines} lines are none of bendfall's, or were cut`]
   return [...lines, ...unreadFiles.map((file) => `not read: ${file}`)]
 }
 
-function exitOf ({ unreadFiles }: ReadOutcome, isFound: boolean): CommandResult['exit'] {
+function exitNameOf ({ unreadFiles }: ReadOutcome, isFound: boolean): CommandResult['exit'] {
   if (unreadFiles.length > 0) return 'findings'
   return isFound ? 'done' : 'failed'
 }
--- a/packages/bendfallctl/src/BendfallctlExplainLosses.ts
+++ b/packages/bendfallctl/src/BendfallctlExplainLosses.ts
@@ -7,20 +7,20 @@
 import type { LogLine } from './BendfallctlLogLine.js'
 
 /** Maximum number of unfinished requests to track. Beyond it the oldest are dropped, so that a log of any size can be read. */
-const MOST_OPEN = 100_000
+const MAX_OPEN_REQUESTS = 100_000
 
 /** Maximum time span in seconds to count outcomes for: one day. A longer log has to be split first. */
-const MOST_SECONDS = 86_400
+const MAX_SECONDS = 86_400
 
 const MS_PER_SECOND = 1_000
 
 /** Outcomes of a request, in the order of the table columns; `late` is a complete response that missed its target time. */
 export const LOSS_COLUMNS = ['answered', 'late', 'refused', 'cut', 'cancelled'] as const
 
-type LossColumn = (typeof LOSS_COLUMNS)[number]
+type OutcomeColumn = (typeof LOSS_COLUMNS)[number]
 
 /** Number of requests for each outcome that ended in one second. */
-export type SecondOfLosses = { readonly second: number } & Readonly<Record<LossColumn, number>>
+export type SecondOfLosses = { readonly second: number } & Readonly<Record<OutcomeColumn, number>>
 
 /** Late responses with the same cause. */
 export interface LateCause {
@@ -43,12 +43,12 @@
 
 interface OpenRequest {
   lastMs: number
-  longestMs: number
-  longestStep: string
-  hasBegun: boolean
+  longestWaitMs: number
+  longestWaitEvent: string
+  hasStarted: boolean
 }
 
-const ENDS: ReadonlySet<string> = new Set(['answered', 'refused', 'cut', 'cancelled'])
+const END_EVENTS: ReadonlySet<string> = new Set(['answered', 'refused', 'cut', 'cancelled'])
 
 /**
  * Creates a recorder.
@@ -57,45 +57,45 @@
  */
 export function createLossRecorder (): LossRecorder {
   const open = new Map<string, OpenRequest>()
-  const seconds = new Map<number, Record<LossColumn, number>>()
+  const seconds = new Map<number, Record<OutcomeColumn, number>>()
   const late = new Map<string, { count: number, sumMs: number }>()
   let firstMs: number | undefined
 
-  function follow (requestId: string, { event, timeMs }: LogLine): OpenRequest {
-    const request = open.get(requestId) ?? { lastMs: timeMs, longestMs: 0, longestStep: event, hasBegun: false }
+  function updateOpenRequest (requestId: string, { event, timeMs }: LogLine): OpenRequest {
+    const request = open.get(requestId) ?? { lastMs: timeMs, longestWaitMs: 0, longestWaitEvent: event, hasStarted: false }
     open.set(requestId, request)
-    if (open.size > MOST_OPEN) open.delete(open.keys().next().value as string)
+    if (open.size > MAX_OPEN_REQUESTS) open.delete(open.keys().next().value as string)
     const waitedMs = timeMs - request.lastMs
     // Once output has started, delays are gaps within the stream; the response's own log line has the longest one.
-    if (!request.hasBegun && waitedMs > request.longestMs) {
-      request.longestMs = waitedMs
-      request.longestStep = event
+    if (!request.hasStarted && waitedMs > request.longestWaitMs) {
+      request.longestWaitMs = waitedMs
+      request.longestWaitEvent = event
     }
     request.lastMs = timeMs
-    request.hasBegun ||= event === 'answer_started'
+    request.hasStarted ||= event === 'answer_started'
     return request
   }
 
-  function countEnd (column: LossColumn, timeMs: number): void {
+  function countOutcome (column: OutcomeColumn, timeMs: number): void {
     firstMs ??= timeMs
     const second = Math.floor((timeMs - firstMs) / MS_PER_SECOND)
-    if (Math.abs(second) > MOST_SECONDS) return
+    if (Math.abs(second) > MAX_SECONDS) return
     const counts = seconds.get(second) ?? { answered: 0, late: 0, refused: 0, cut: 0, cancelled: 0 }
     counts[column] += 1
     seconds.set(second, counts)
   }
 
-  function countLate ({ longestMs, longestStep }: OpenRequest): void {
-    const cause = late.get(longestStep) ?? { count: 0, sumMs: 0 }
-    late.set(longestStep, { count: cause.count + 1, sumMs: cause.sumMs + longestMs })
+  function countLate ({ longestWaitMs, longestWaitEvent }: OpenRequest): void {
+    const cause = late.get(longestWaitEvent) ?? { count: 0, sumMs: 0 }
+    late.set(longestWaitEvent, { count: cause.count + 1, sumMs: cause.sumMs + longestWaitMs })
   }
 
   return {
     take: (requestId, line) => {
-      const request = follow(requestId, line)
-      if (!ENDS.has(line.event)) return
+      const request = updateOpenRequest(requestId, line)
+      if (!END_EVENTS.has(line.event)) return
       const isLate = line.event === 'answered' && line.fields.get('isLate') === 'true'
-      countEnd(isLate ? 'late' : line.event as LossColumn, line.timeMs)
+      countOutcome(isLate ? 'late' : line.event as OutcomeColumn, line.timeMs)
       if (isLate) countLate(request)
       open.delete(requestId)
     },
--- a/packages/bendfallctl/src/BendfallctlLogLine.ts
+++ b/packages/bendfallctl/src/BendfallctlLogLine.ts
@@ -20,7 +20,7 @@
 
 const PAIR = /([A-Za-z_][\w.]*)=("(?:[^"\\]|\\.)*"|[^\s"]*)(?=\s|$)/gy
 
-const OWN_KEYS: ReadonlySet<string> = new Set(['time', 'level', 'instance', 'event'])
+const COMMON_KEYS: ReadonlySet<string> = new Set(['time', 'level', 'instance', 'event'])
 
 /**
  * Parses a line.
@@ -30,26 +30,26 @@
  */
 export function readLogLine (text: string): LogLine | undefined {
   const start = LINE_START.exec(text)?.[1]
-  const pairs = start === undefined ? undefined : readPairs(start)
+  const pairs = start === undefined ? undefined : parsePairs(start)
   const timeMs = Date.parse(pairs?.get('time') ?? '')
   const event = pairs?.get('event')
   const instance = pairs?.get('instance')
   // Every line has its instance before its other fields, so a line without one is truncated.
   if (pairs === undefined || event === undefined || instance === undefined || Number.isNaN(timeMs)) return undefined
-  const fields = new Map([...pairs].filter(([key]) => !OWN_KEYS.has(key)))
+  const fields = new Map([...pairs].filter(([key]) => !COMMON_KEYS.has(key)))
   return { timeMs, event, instance, fields }
 }
 
-function readPairs (text: string): Map<string, string> | undefined {
+function parsePairs (text: string): Map<string, string> | undefined {
   const pairs = new Map<string, string>()
   PAIR.lastIndex = 0
-  for (let at = 0; at < text.length;) {
-    PAIR.lastIndex = at
+  for (let offset = 0; offset < text.length;) {
+    PAIR.lastIndex = offset
     const match = PAIR.exec(text)
     if (match === null) return undefined
     const [, key = '', value = ''] = match
     pairs.set(key, value.startsWith('"') ? String(JSON.parse(value)) : value)
-    at = PAIR.lastIndex + 1
+    offset = PAIR.lastIndex + 1
   }
   return pairs
 }
--- a/packages/bendfallctl/src/BendfallctlPeers.ts
+++ b/packages/bendfallctl/src/BendfallctlPeers.ts
@@ -12,7 +12,7 @@
 import type { CommandResult } from './BendfallctlExit.js'
 
 const CONNECT_TIMEOUT_MS = 1_000
-const ANSWER_TIMEOUT_MS = 2_000
+const RESPONSE_TIMEOUT_MS = 2_000
 
 /** Sender of requests of the command line. It is not a bendfall process, so it has no configuration version. */
 const SENDER: SenderInit = { instanceId: 'bendfallctl' }
@@ -51,11 +51,11 @@
  * @param callPeer - sends the request to one process
  * @returns the responses, in the order of the records; a process that fails or times out has none
  */
-export async function askProcesses<T> (records: readonly InstanceRecord[], ask: (call: PeerCall) => Promise<T>): Promise<ReadonlyArray<PeerAnswer<T>>> {
+export async function askProcesses<T> (records: readonly InstanceRecord[], callPeer: (call: PeerCall) => Promise<T>): Promise<ReadonlyArray<PeerAnswer<T>>> {
   const connections = createConnections(CONNECT_TIMEOUT_MS)
   const answers = await Promise.all(records.map(async (record): Promise<PeerAnswer<T>> => {
     const { peer } = connections.to(record.address)
-    const answer = await ask({ peer, sender: SENDER, options: { timeoutMs: ANSWER_TIMEOUT_MS } }).catch(() => undefined)
+    const answer = await callPeer({ peer, sender: SENDER, options: { timeoutMs: RESPONSE_TIMEOUT_MS } }).catch(() => undefined)
     return { record, answer }
   }))
   connections.close()
--- a/packages/bendfallctl/src/BendfallctlPlan.ts
+++ b/packages/bendfallctl/src/BendfallctlPlan.ts
@@ -82,9 +82,9 @@
  * @returns the plan; exit `findings` if it cannot be confirmed
  */
 export async function runPlan (ports: PlanPorts, request: PlanRequest): Promise<CommandResult> {
-  const made = await makePlan(ports, request)
-  if (made.isErr()) return failedResult(made.error)
-  const plan = made.value
+  const planned = await makePlan(ports, request)
+  if (planned.isErr()) return failedResult(planned.error)
+  const plan = planned.value
   return { exit: isConfirmable(plan) ? 'done' : 'findings', text: formatPlan(plan), json: plan }
 }
 
--- a/packages/bendfallctl/src/BendfallctlPlanCommands.ts
+++ b/packages/bendfallctl/src/BendfallctlPlanCommands.ts
@@ -16,18 +16,18 @@
 import type { TargetArgs } from './BendfallctlTarget.js'
 import { openFullTarget, TARGET_ARGS } from './BendfallctlTarget.js'
 
-const RATE_ARG = 'weight-store-bytes-per-second'
+const WEIGHT_STORE_RATE_ARG = 'weight-store-bytes-per-second'
 
 const PLAN_ARGS = {
   intent: { type: 'string', required: true, valueHint: 'FILE', description: 'Intent to plan' },
-  [RATE_ARG]: { type: 'string', valueHint: 'N', description: 'Throughput of the weight store, for the estimates' },
+  [WEIGHT_STORE_RATE_ARG]: { type: 'string', valueHint: 'N', description: 'Throughput of the weight store, for the estimates' },
   ...TARGET_ARGS,
   ...OUTPUT_ARGS
 } as const
 
 interface PlanArgs extends TargetArgs {
   readonly intent: string
-  readonly [RATE_ARG]?: string
+  readonly [WEIGHT_STORE_RATE_ARG]?: string
 }
 
 type PlanRunner = (ports: PlanPorts, request: PlanRequest) => Promise<CommandResult>
@@ -67,7 +67,7 @@
     return findingsResult([...(intent.isErr() ? intent.error : []), ...(target.isErr() ? target.error : [])])
   }
   try {
-    return await run(target.value, { intent: intent.value, weightStoreBytesPerSecond: readRate(args[RATE_ARG]) })
+    return await run(target.value, { intent: intent.value, weightStoreBytesPerSecond: parseRate(args[WEIGHT_STORE_RATE_ARG]) })
   } finally {
     noteStep('services answered')
     await target.value.close()
@@ -75,7 +75,7 @@
   }
 }
 
-function readRate (text: string | undefined): number {
+function parseRate (text: string | undefined): number {
   const rate = Number(text)
   return Number.isFinite(rate) && rate > 0 ? rate : 0
 }
--- a/packages/bendfallctl/src/BendfallctlPools.ts
+++ b/packages/bendfallctl/src/BendfallctlPools.ts
@@ -28,7 +28,7 @@
   if (read.isErr()) return findingsResult(read.error)
   const { intent } = read.value
   const digest = digestPoolIntent(intent)
-  const changes = balancePools(membersOf(counts), { prefill: 0, decode: 0 }, intent)
+  const changes = balancePools(createMembers(counts), { prefill: 0, decode: 0 }, intent)
   const toDecode = changes.filter(({ stage }) => stage === 'decode').length
   const isConfirmed = confirmedIntent(read.value) !== undefined
   const text = [
@@ -53,16 +53,16 @@
   const read = await readDocument<PoolDocument>(POOL_DOCUMENT_SCHEMA, path)
   if (read.isErr()) return findingsResult(read.error)
   const { intent } = read.value
-  const present = digestPoolIntent(intent)
-  if (present !== digest) {
-    return { exit: 'conflict', text: `The intent has changed since the plan; its digest is ${present}. Nothing was confirmed.`, json: { digest: present, isConfirmed: false } }
+  const currentDigest = digestPoolIntent(intent)
+  if (currentDigest !== digest) {
+    return { exit: 'conflict', text: `The intent has changed since the plan; its digest is ${currentDigest}. Nothing was confirmed.`, json: { digest: currentDigest, isConfirmed: false } }
   }
   await writeFile(path, `${JSON.stringify({ intent, confirmedDigest: digest }, null, 2)}\n`)
   return { exit: 'done', text: `Confirmed ${digest} in ${path}.`, json: { digest, isConfirmed: true } }
 }
 
-function membersOf ({ decodes, prefills }: PoolCounts): PoolMember[] {
-  const make = (count: number, stage: 'prefill' | 'decode'): PoolMember[] =>
+function createMembers ({ decodes, prefills }: PoolCounts): PoolMember[] {
+  const createStage = (count: number, stage: 'prefill' | 'decode'): PoolMember[] =>
     Array.from({ length: count }, (_, index) => ({ replicaId: `${stage}-${index}`, availabilityZone: '', stage, isServing: true, isLeaving: false }))
-  return [...make(prefills, 'prefill'), ...make(decodes, 'decode')]
+  return [...createStage(prefills, 'prefill'), ...createStage(decodes, 'decode')]
 }
--- a/packages/bendfallctl/src/BendfallctlStatus.ts
+++ b/packages/bendfallctl/src/BendfallctlStatus.ts
@@ -54,7 +54,7 @@
     askProcesses(listed.value, ({ peer, sender, options }) => peer.status({ sender }, options)),
     readStoredVersion(keyValue)
   ])
-  const processes = answers.flatMap(readProcess)
+  const processes = answers.flatMap(toProcessStatus)
   const report: StatusReport = { storedVersion, versions: countVersions(processes), processes, silent: silentInstances(answers) }
   return { exit: 'done', text: formatStatus(report), json: report }
 }
@@ -64,15 +64,15 @@
   return stored?.isOk() === true ? stored.unwrap().config?.version ?? 0 : undefined
 }
 
-function readProcess ({ record, answer }: PeerAnswer<StatusResponse>): readonly ProcessStatus[] {
+function toProcessStatus ({ record, answer }: PeerAnswer<StatusResponse>): readonly ProcessStatus[] {
   if (answer === undefined) return []
   const { role, availabilityZone, pool, state, activeRequests, heldKvBytes, uptimeMs } = answer
   const configVersion = answer.sender?.configVersion ?? 0
-  const reconcile = readReconcile(answer.reconcileJson)
+  const reconcile = parseReconcile(answer.reconcileJson)
   return [{ instanceId: record.instanceId, availabilityZone, role, pool, state, configVersion, activeRequests, heldKvBytes, uptimeMs, reconcile }]
 }
 
-function readReconcile (json: string): Readonly<Record<string, unknown>> {
+function parseReconcile (json: string): Readonly<Record<string, unknown>> {
   return json === '' ? {} : JSON.parse(json) as Record<string, unknown>
 }
 
--- a/packages/bendfallctl/src/__tests__/unit/BendfallctlCrashes.test.ts
+++ b/packages/bendfallctl/src/__tests__/unit/BendfallctlCrashes.test.ts
@@ -5,8 +5,8 @@
 
 const NOW = new Date('2026-03-01T10:00:00Z')
 
-/** A service that holds entries. */
-function serviceOf (values: Readonly<Record<string, string>>): { readonly port: KeyValuePort, readonly entries: Map<string, KeyValueEntry> } {
+/** Creates a key-value service with initial values. It has only the methods that these tests call. */
+function createService (values: Readonly<Record<string, string>>): { readonly port: KeyValuePort, readonly entries: Map<string, KeyValueEntry> } {
   let revision = 0
   const entries = new Map<string, KeyValueEntry>()
   const put = (key: string, value: string): void => { entries.set(key, { key, value, revision: ++revision, leaseId: '' }) }
@@ -25,17 +25,17 @@
   return { port: port as KeyValuePort, entries }
 }
 
-const REPORT = (processes: readonly string[]): string => JSON.stringify({ suspects: [{ fingerprint: 'f1', processes }], cleared: [] })
+const encodeReport = (processes: readonly string[]): string => JSON.stringify({ suspects: [{ fingerprint: 'f1', processes }], cleared: [] })
 
-test('what several entries saw of one request is listed together', async () => {
-  const { port } = serviceOf({ 'bendfall/crashes/entry-1': REPORT(['a/1', 'b/1']), 'bendfall/crashes/entry-2': REPORT(['b/1', 'c/1']) })
+test('reports of several entries about one request are merged', async () => {
+  const { port } = createService({ 'bendfall/crashes/entry-1': encodeReport(['a/1', 'b/1']), 'bendfall/crashes/entry-2': encodeReport(['b/1', 'c/1']) })
   const { exit, text } = await listCrashes(port)
   assert.is(exit, 'done')
   assert.match(text, /f1 +3 +a\/1 b\/1 c\/1 +entry-1 entry-2/)
 })
 
-test('the list is cleared with its digest, and is empty then', async () => {
-  const { entries, port } = serviceOf({ 'bendfall/crashes/entry-1': REPORT(['a/1']) })
+test('the list is empty after it was cleared with its digest', async () => {
+  const { entries, port } = createService({ 'bendfall/crashes/entry-1': encodeReport(['a/1']) })
   const { digest } = (await listCrashes(port)).json as { readonly digest: string }
   assert.is((await clearCrashes(port, digest, NOW)).exit, 'done')
   assert.is(entries.get('bendfall/crashes-cleared')?.value, NOW.toISOString())
@@ -43,13 +43,13 @@
 })
 
 test('a list that has changed is not cleared', async () => {
-  const { entries, port } = serviceOf({ 'bendfall/crashes/entry-1': REPORT(['a/1']) })
+  const { entries, port } = createService({ 'bendfall/crashes/entry-1': encodeReport(['a/1']) })
   assert.is((await clearCrashes(port, 'stale', NOW)).exit, 'conflict')
   assert.is(entries.has('bendfall/crashes-cleared'), false)
 })
 
-test('a report that can not be read is a finding, and hides no other', async () => {
-  const { port } = serviceOf({ 'bendfall/crashes/entry-1': '{"suspects":[{}]}', 'bendfall/crashes/entry-2': REPORT(['a/1']) })
+test('an unreadable report is a finding and does not hide other reports', async () => {
+  const { port } = createService({ 'bendfall/crashes/entry-1': '{"suspects":[{}]}', 'bendfall/crashes/entry-2': encodeReport(['a/1']) })
   const { exit, text } = await listCrashes(port)
   assert.is(exit, 'findings')
   assert.match(text, /f1/)
--- a/packages/bendfallctl/src/__tests__/unit/BendfallctlExplain.test.ts
+++ b/packages/bendfallctl/src/__tests__/unit/BendfallctlExplain.test.ts
@@ -30,13 +30,13 @@
   }
 }
 
-test('the story of a request joins the lines of its entry and its ledgers, by time', () => withFiles(async (files) => {
+test('the lines of a request from its entry and its ledgers are merged by time', () => withFiles(async (files) => {
   const { exit, text } = await explainRequest('aa', files)
   assert.is(exit, 'done')
   assert.equal(text.split('\n').slice(0, 4).map((line) => line.trim().split(/ {2}/)[2]), ['admitted', 'booking_refused', 'reservation_refused', 'refused'])
 }))
 
-test('failures are listed by cause, with what went wrong before', () => withFiles(async (files) => {
+test('failures are listed by cause, including an intermediate failure before the end', () => withFiles(async (files) => {
   const { json } = await explainFailures(files)
   assert.equal((json as { causes: unknown }).causes, [
     { cause: 'refused 503 no_memory in reserve after reservation_refused', count: 1, requestIds: ['aa'] },
@@ -44,7 +44,7 @@
   ])
 }))
 
-test('late answers are listed by their longest wait, and all ends by second', () => withFiles(async (files) => {
+test('late responses are listed by their longest wait, and all outcomes by second', () => withFiles(async (files) => {
   const { json, text } = await explainFailures(files)
   const { late, seconds } = json as { late: unknown, seconds: unknown }
   assert.equal(late, [{ cause: 'answered', count: 1, meanMs: 1_000 }])
@@ -56,18 +56,18 @@
   assert.match(text, /1 {2}late, longest wait before answered, 1000 ms on average/)
 }))
 
-test('a line that was cut is counted and passed over', () => withFiles(async (files) => {
+test('truncated lines are counted and skipped', () => withFiles(async (files) => {
   const { text } = await explainFailures(files)
   assert.match(text, '2 lines are none of bendfall')
 }))
 
-test('an id that no line has is a failure', () => withFiles(async (files) => {
+test('an id without any log line is a failure', () => withFiles(async (files) => {
   const { exit, text } = await explainRequest('zz', files)
   assert.is(exit, 'failed')
   assert.match(text, 'no line has the request zz')
 }))
 
-test('a file that is not there is told with its name', async () => {
+test('a missing file is reported with its path', async () => {
   const { exit, text } = await explainFailures(['/nowhere/entry.log'])
   assert.is(exit, 'findings')
   assert.match(text, 'not read: /nowhere/entry.log')
--- a/packages/bendfallctl/src/__tests__/unit/BendfallctlPools.test.ts
+++ b/packages/bendfallctl/src/__tests__/unit/BendfallctlPools.test.ts
@@ -21,7 +21,7 @@
   assert.is((result.json as { readonly isConfirmed: boolean }).isConfirmed, false)
 })
 
-test('a confirmation with the digest of the plan is written', async () => {
+test('a confirmation with the digest of the plan is written to the file', async () => {
   const path = await writeDocument({ intent: INTENT, confirmedDigest: '' })
   const { digest } = (await planPools(path, { prefills: 4, decodes: 8 })).json as { readonly digest: string }
   assert.is((await confirmPools(path, digest)).exit, 'done')
@@ -34,7 +34,7 @@
   assert.is(JSON.parse(await readFile(path, 'utf8')).confirmedDigest, '')
 })
 
-test('a share that is no number is a finding with its place', async () => {
+test('a share that is not a number is a finding with its JSON pointer', async () => {
   const path = await writeDocument({ intent: { ...INTENT, usualPrefillShare: 'most' }, confirmedDigest: '' })
   const result = await planPools(path, { prefills: 4, decodes: 8 })
   assert.is(result.exit, 'findings')
--- a/packages/bendfallctl/src/__tests__/unit/BendfallctlProcesses.test.ts
+++ b/packages/bendfallctl/src/__tests__/unit/BendfallctlProcesses.test.ts
@@ -19,7 +19,7 @@
   return { instanceId, incarnation: 'a', lamport, wallMs: 0, subject: 'r1', event: name, fields: {} }
 }
 
-/** Two processes that answer, at versions 2 and 1, and one that does not. */
+/** Starts two processes that respond, at versions 2 and 1, and lists a third one that does not. */
 async function startFleet (): Promise<Fleet> {
   const drained: string[] = []
   const listeners: PeerListener[] = []
@@ -54,7 +54,7 @@
 test.before.each(async () => { fleet = await startFleet() })
 test.after.each(async () => { await fleet.close() })
 
-test('status tells how many are at which version, progress, and who is silent', async () => {
+test('status reports the number of processes at each version, their progress, and those without a response', async () => {
   const { json, text } = await runStatus(fleet.instances, createKeyValueMemory())
   const report = json as StatusReport
   assert.equal(report.versions, [{ version: 2, processes: 1 }, { version: 1, processes: 1 }])
@@ -63,14 +63,14 @@
   assert.match(text, /at version 2: 1 of 2\nat version 1: 1 of 2\nno answer: c$/)
 })
 
-test('drain reaches the instance named and no other', async () => {
+test('drain reaches only the named instance', async () => {
   assert.is((await runDrain(fleet.instances, 'b')).exit, 'done')
   assert.is((await runDrain(fleet.instances, 'c')).exit, 'outage')
   assert.is((await runDrain(fleet.instances, 'nobody')).exit, 'findings')
   assert.equal(fleet.drained, ['b'])
 })
 
-test('the time line stands in causal order', async () => {
+test('the timeline is in causal order', async () => {
   const { text } = await runTimeline(fleet.instances, 'r1')
   assert.match(text, /seen_by_b[\s\S]*seen_by_a[\s\S]*no answer: c/)
   assert.equal((await runTimeline(fleet.instances, 'r2')).json, { events: [], silent: ['c'] })
@@ -82,7 +82,7 @@
   assert.equal(results.map((result) => result.exit), ['outage', 'outage', 'outage'])
 })
 
-test('check tells settings from intents and reports all findings with their place', async () => {
+test('check distinguishes settings from intents and reports all findings with their JSON pointers', async () => {
   const directory = await mkdtemp(join(tmpdir(), 'bendfallctl-'))
   const path = join(directory, 'document.json')
   const check = async (document: unknown): ReturnType<typeof runCheck> => {
--- a/packages/bendfallctl/src/__tests__/unit/BendfallctlStart.test.ts
+++ b/packages/bendfallctl/src/__tests__/unit/BendfallctlStart.test.ts
@@ -1,5 +1,6 @@
-// A command on a machine short of processors took seconds before its first step, and once longer than
-// the limit of the process tests: each loaded the modules of all commands, the runtime of entries with them.
+// Guards against slow start-up. Every command used to load the modules of all commands, including the runtime
+// of entries. On a machine with few processors that took seconds before the first step of a command, and once
+// longer than the time limit of the process tests.
 import { execFile } from 'node:child_process'
 import { mkdtemp, readdir, readFile, rm } from 'node:fs/promises'
 import { tmpdir } from 'node:os'
@@ -10,8 +11,8 @@
 
 const MAIN_MODULE = fileURLToPath(new URL('../../BendfallctlMain.js', import.meta.url))
 
-/** Scripts that a command loads, by the coverage that the engine writes at its end. */
-async function loadedBy (...args: readonly string[]): Promise<string[]> {
+/** Runs a command and returns the URLs of the scripts that it loaded, from the coverage report that V8 writes at exit. */
+async function loadedScripts (...args: readonly string[]): Promise<string[]> {
   const directory = await mkdtemp(join(tmpdir(), 'bendfallctl-start-'))
   try {
     const env = { ...process.env, NODE_V8_COVERAGE: directory }
@@ -27,7 +28,7 @@
 
 for (const command of ['plan', 'confirm']) {
   test(`${command} loads neither the runtime of entries nor the protocol between processes`, async () => {
-    const scripts = await loadedBy(command, ...TARGET, ...(command === 'confirm' ? ['--digest', 'd'] : []))
+    const scripts = await loadedScripts(command, ...TARGET, ...(command === 'confirm' ? ['--digest', 'd'] : []))
     assert.ok(scripts.some((url) => url.includes('BendfallctlPlanCommands.js')), 'the command was loaded')
     assert.equal(scripts.filter((url) => /@connectrpc|bendfall-(edge|protocol|router)|bendfall-node\/dist\/(edge|transport)/.test(url)), [])
   })
--- a/packages/bendfallctl/src/__tests__/unit/KeyValueMemory.ts
+++ b/packages/bendfallctl/src/__tests__/unit/KeyValueMemory.ts
@@ -1,27 +1,29 @@
 /**
- * Key-value service in memory, with faults a test scripts call by call.
+ * In-memory key-value service for tests, which can inject a fault into each call.
  *
  * @module
  */
 import type { CompareAndSwap, KeyValueEntry, KeyValuePort, LeaseOutcome, WriteOutcome } from 'bendfall-platform'
 
-/** What happens to one write: `late` takes effect at the next read. */
+/** Fault injected into one write; a write with `lost_late` takes effect at the next read. */
 export type WriteFault = 'none' | 'lost_applied' | 'lost_not_applied' | 'lost_late' | 'unavailable'
 
-/** The service with its script. */
+/** The service with the faults to inject. */
 export interface KeyValueMemory extends KeyValuePort {
+  /** Faults of the next writes, in order; writes beyond them succeed. */
   readonly writeFaults: WriteFault[]
+  /** For each of the next reads of a single key, whether it fails. */
   readonly readFaults: boolean[]
-  /** Runs before each write reaches the store. */
+  /** Called before each write is processed. */
   beforeWrite: (() => void) | undefined
-  /** Writes that took effect. */
+  /** Writes that took effect, in order. */
   readonly applied: CompareAndSwap[]
   readonly put: (key: string, value: string) => void
 }
 
 const NO_LEASE = async (): Promise<LeaseOutcome> => ({ type: 'unavailable', detail: 'not here' })
 
-/** Makes an empty service. */
+/** Creates a service without entries or faults. */
 export function createKeyValueMemory (): KeyValueMemory {
   const entries = new Map<string, KeyValueEntry>()
   const late: CompareAndSwap[] = []
