--- a/packages/bendfall-compare/src/CompareCell.ts
+++ b/packages/bendfall-compare/src/CompareCell.ts
@@ -1,33 +1,35 @@
 /**
- * One day of one deployment as played by one variant of the router.
+ * Defines the unit of a comparison: one simulated day of one deployment, run with
+ * one variant of the router.
  *
  * @module
  */
 
-/** What is played: the same day and seed are a pair across variants. */
+/** Parameters of one run. Runs of two variants with the same site, day and seed form a pair. */
 export interface Cell {
   readonly variant: string
-  /** Name of the site file without its folder and ending. */
+  /** Name of the site file without its folder and extension. */
   readonly site: string
   readonly day: string
-  /** Seed of the day's luck; absent: the day's own. */
+  /** Seed of the day's random events; if absent, the day's default seed is used. */
   readonly seed?: number
 }
 
-/** What the day was worth. */
+/** Result of one run. */
 export interface Outcome extends Cell {
-  /** Share of the worth owed that was earned, less prices. */
+  /** Fraction of the attainable worth that was earned, after deducting costs. */
   readonly worth: number
-  /** Share of the worth owed that was earned, before prices. */
+  /** Fraction of the attainable worth that was earned, before deducting costs. */
   readonly servedShare: number
+  /** Names of the rules of the bench that the run violated. */
   readonly brokenRules: readonly string[]
 }
 
 /**
- * Names a cell, so that it is found again among earlier results.
+ * Returns a key that identifies a cell among earlier results.
  *
- * @param cell - the cell
- * @returns text that differs for different cells
+ * @param cell - cell or outcome; only the parameters of the run are used
+ * @returns text that is unique for the cell
  */
 export function nameOfCell ({ day, seed, site, variant }: Cell): string {
   return [variant, site, day, seed ?? 'own'].join(' ')
--- a/packages/bendfall-compare/src/CompareMain.ts
+++ b/packages/bendfall-compare/src/CompareMain.ts
@@ -1,6 +1,7 @@
 #!/usr/bin/env node
 /**
- * Command line of the comparison.
+ * Command line of the comparison: runs all cells without a stored result and prints
+ * the table of paired differences.
  *
  * @module
  */
@@ -15,66 +16,66 @@
 import { createVariant, parseSwitches } from './CompareVariant.js'
 import type { Switch, Variant } from './CompareVariant.js'
 
-/** Cells played at once when nothing else is said: half of eight processors. */
-const USUAL_JOBS = '4'
+/** Default number of concurrent runs: half of eight processors. */
+const DEFAULT_JOBS = '4'
 
 const MS_PER_MINUTE = 60_000
 
-/** The input can't be used; what is wrong was printed. */
-const EXIT_FINDINGS = 2
+/** Exit code if the input is invalid; the reason has been printed. */
+const EXIT_INVALID_INPUT = 2
 
-/** Some cells gave no outcome. */
+/** Exit code if some runs failed. */
 const EXIT_PARTIAL = 1
 
 const BASE = 'base'
 
 const compareCommand = defineCommand({
-  meta: { name: 'compare', description: 'Plays builds or switched mechanisms in pairs and prints what the base gains' },
+  meta: { name: 'compare', description: 'Runs builds or switched mechanisms in pairs and prints what the base gains' },
   args: {
-    bench: { type: 'string', required: true, description: "Path of the bench's program" },
-    base: { type: 'string', required: true, description: 'Folder of the checkout that others are compared with' },
+    bench: { type: 'string', required: true, description: "Path of the bench's executable" },
+    base: { type: 'string', required: true, description: 'Folder of the checkout that the others are compared with' },
     others: { type: 'string', default: '', description: 'Folders of other checkouts, separated by commas' },
     switches: { type: 'string', default: '', description: 'Mechanisms to switch in the base, NAME=CHOICE separated by commas, or all' },
     sites: { type: 'string', required: true, description: 'Paths of site files, separated by commas' },
     days: { type: 'string', required: true, description: 'Names of days, separated by commas' },
-    seeds: { type: 'string', default: 'own', description: 'Seeds separated by commas; own: that of the day' },
-    jobs: { type: 'string', default: USUAL_JOBS, description: 'Days played at once' },
-    results: { type: 'string', required: true, description: 'File of results, which a later call goes on with' },
-    why: { type: 'string', default: 'paired comparison', description: "Reason for the bench's journal" },
+    seeds: { type: 'string', default: 'own', description: 'Seeds separated by commas; own: the default seed of the day' },
+    jobs: { type: 'string', default: DEFAULT_JOBS, description: 'Number of concurrent runs' },
+    results: { type: 'string', required: true, description: 'File to store results in; a later call resumes from it' },
+    why: { type: 'string', default: 'paired comparison', description: "Reason to record in the bench's journal" },
     processor: { type: 'boolean', default: false, description: 'Charge processor time' }
   },
   run: async ({ args }) => {
     const switches = parseSwitches(args.switches)
     const seeds = parseSeeds(args.seeds)
     const jobs = Number(args.jobs)
-    const finding = switches.isErr() ? switches.error : seeds === undefined ? `--seeds ${args.seeds}: whole numbers or own` : !(jobs >= 1) ? `--jobs ${args.jobs}: a number from 1 on` : undefined
+    const finding = switches.isErr() ? switches.error : seeds === undefined ? `--seeds ${args.seeds}: expected whole numbers or own` : !(jobs >= 1) ? `--jobs ${args.jobs}: expected a number of at least 1` : undefined
     if (finding !== undefined || switches.isErr() || seeds === undefined) {
       console.error(`compare: ${finding ?? ''}`)
-      process.exitCode = EXIT_FINDINGS
+      process.exitCode = EXIT_INVALID_INPUT
       return
     }
-    const variants = await createVariants(resolve(args.base), split(args.others), switches.value)
-    const sites = new Map(split(args.sites).map((path) => [basename(path, '.toml'), resolve(path)]))
+    const variants = await createVariants(resolve(args.base), splitList(args.others), switches.value)
+    const sites = new Map(splitList(args.sites).map((path) => [basename(path, '.toml'), resolve(path)]))
     await mkdir(dirname(resolve(args.results)), { recursive: true })
     const results = await openResults(args.results)
-    for (const line of results.unreadLines) console.error(`${args.results}:${line}: not a result, left out`)
-    const cells = planCells(variants, [...sites.keys()], split(args.days), seeds)
-    const open = cells.filter((cell) => !results.outcomes.has(nameOfCell(cell)))
-    const failures = await play(open, { bench: resolve(args.bench), sites, folders: new Map(variants.map(({ folder, name }) => [name, folder])), jobs, chargesProcessor: args.processor, why: args.why }, results.add)
+    for (const line of results.unreadLines) console.error(`${args.results}:${line}: not a valid result, ignored`)
+    const cells = planCells(variants, [...sites.keys()], splitList(args.days), seeds)
+    const pendingCells = cells.filter((cell) => !results.outcomes.has(nameOfCell(cell)))
+    const failures = await runWithProgress(pendingCells, { bench: resolve(args.bench), sites, folders: new Map(variants.map(({ folder, name }) => [name, folder])), jobs, chargesProcessor: args.processor, why: args.why }, results.add)
     console.log(toMarkdown(compareWithBase(cells.flatMap((cell) => results.outcomes.get(nameOfCell(cell)) ?? []), BASE)))
     if (failures > 0) process.exitCode = EXIT_PARTIAL
   }
 })
 
-async function play (cells: readonly Cell[], options: Parameters<typeof playCells>[1], add: (outcome: Parameters<Parameters<typeof playCells>[2]>[0]) => Promise<void>): Promise<number> {
+async function runWithProgress (cells: readonly Cell[], options: Parameters<typeof playCells>[1], add: (outcome: Parameters<Parameters<typeof playCells>[2]>[0]) => Promise<void>): Promise<number> {
   const startedAtMs = Date.now()
-  let done = 0
+  let completed = 0
   let failures = 0
   await playCells(cells, options, async (outcome) => {
     await add(outcome)
-    done += 1
-    const leftMinutes = (Date.now() - startedAtMs) / done * (cells.length - done) / MS_PER_MINUTE
-    console.error(`${done} of ${cells.length}, about ${leftMinutes.toFixed(1)} min left: ${nameOfCell(outcome)} ${outcome.worth.toFixed(3)} ${outcome.brokenRules.join(' ')}`)
+    completed += 1
+    const leftMinutes = (Date.now() - startedAtMs) / completed * (cells.length - completed) / MS_PER_MINUTE
+    console.error(`${completed} of ${cells.length}, about ${leftMinutes.toFixed(1)} min left: ${nameOfCell(outcome)} ${outcome.worth.toFixed(3)} ${outcome.brokenRules.join(' ')}`)
   }, (cell, detail) => {
     failures += 1
     console.error(`no outcome: ${nameOfCell(cell)}: ${detail}`)
@@ -89,17 +90,17 @@
   return variants
 }
 
-// Seeds come first, so that a comparison that is stopped has whole rounds.
+// The seed varies slowest, so that an interrupted comparison has complete rounds of all variants.
 function planCells (variants: readonly Variant[], sites: readonly string[], days: readonly string[], seeds: ReadonlyArray<number | undefined>): Cell[] {
   return seeds.flatMap((seed) => sites.flatMap((site) => days.flatMap((day) => variants.map(({ name }) => ({ variant: name, site, day, seed })))))
 }
 
-function split (list: string): string[] {
+function splitList (list: string): string[] {
   return list.split(',').filter((part) => part !== '')
 }
 
 function parseSeeds (text: string): Array<number | undefined> | undefined {
-  const seeds = split(text).map((part) => part === 'own' ? undefined : Number(part))
+  const seeds = splitList(text).map((part) => part === 'own' ? undefined : Number(part))
   return seeds.every((seed) => seed === undefined || Number.isInteger(seed)) ? seeds : undefined
 }
 
--- a/packages/bendfall-compare/src/CompareResults.ts
+++ b/packages/bendfall-compare/src/CompareResults.ts
@@ -1,5 +1,5 @@
 /**
- * Results kept as JSON lines, so that a comparison goes on after a stop.
+ * Stores results as JSON lines, so that an interrupted comparison can be resumed.
  *
  * @module
  */
@@ -7,22 +7,22 @@
 import { nameOfCell } from './CompareCell.js'
 import type { Outcome } from './CompareCell.js'
 
-/** Results of earlier and present runs. */
+/** Results of previous calls and of the current one. */
 export interface ResultsFile {
-  /** Outcomes by the name of their cell. */
+  /** Outcomes by the key of their cell. */
   readonly outcomes: ReadonlyMap<string, Outcome>
-  /** Lines that could not be read, by number; the last one is cut where a run was stopped. */
+  /** Numbers of the lines that could not be parsed; an interrupted write leaves a truncated last line. */
   readonly unreadLines: readonly number[]
-  /** Keeps an outcome. */
+  /** Adds an outcome and appends it to the file. */
   readonly add: (outcome: Outcome) => Promise<void>
 }
 
 /**
- * Opens a file of results; it need not exist.
+ * Opens a file of results.
  *
- * @param path - of the file
- * @returns the results
- * @throws Error when the file is there and can't be read
+ * @param path - path of the file, which need not exist
+ * @returns the results in the file, and the means to add others
+ * @throws Error if the file exists and can't be read
  */
 export async function openResults (path: string): Promise<ResultsFile> {
   const outcomes = new Map<string, Outcome>()
@@ -39,7 +39,7 @@
     unreadLines,
     add: async (outcome) => {
       outcomes.set(nameOfCell(outcome), outcome)
-      // A line of its own even behind one that was cut.
+      // The leading line feed starts a new line even if the last one is truncated.
       await appendFile(path, `\n${JSON.stringify(outcome)}`)
     }
   }
@@ -57,10 +57,10 @@
 function parseOutcome (line: string): Outcome | undefined {
   try {
     const value = JSON.parse(line) as Partial<Outcome>
-    const isWhole = typeof value.variant === 'string' && typeof value.site === 'string' && typeof value.day === 'string' && typeof value.worth === 'number'
-    return isWhole ? value as Outcome : undefined
+    const isComplete = typeof value.variant === 'string' && typeof value.site === 'string' && typeof value.day === 'string' && typeof value.worth === 'number'
+    return isComplete ? value as Outcome : undefined
   } catch {
-    // Reported with its number by the caller.
+    // The caller reports the line by its number.
     return undefined
   }
 }
--- a/packages/bendfall-compare/src/CompareRunner.ts
+++ b/packages/bendfall-compare/src/CompareRunner.ts
@@ -1,5 +1,5 @@
 /**
- * Plays cells on the users' bench, a few at a time.
+ * Runs cells on the users' bench as child processes, with limited concurrency.
  *
  * @module
  */
@@ -9,23 +9,23 @@
 import { join } from 'node:path'
 import type { Cell, Outcome } from './CompareCell.js'
 
-/** How cells are played. */
+/** Options that all runs share. */
 export interface RunnerOptions {
-  /** Path of the bench's program. */
+  /** Path of the bench's executable. */
   readonly bench: string
   /** Paths of site files, by name. */
   readonly sites: ReadonlyMap<string, string>
   /** Folders of checkouts, by variant. */
   readonly folders: ReadonlyMap<string, string>
-  /** Cells played at once. */
+  /** Maximum number of concurrent runs. */
   readonly jobs: number
-  /** Whether processor time is charged; pairs differ less without it. */
+  /** Whether the bench charges for processor time; without it the differences of pairs vary less. */
   readonly chargesProcessor: boolean
-  /** Reason for the bench's journal. */
+  /** Reason to record in the bench's journal. */
   readonly why: string
 }
 
-/** What the bench reports of a day, as far as it is used here. */
+/** Fields of the bench's report that are used here. */
 interface DayReport {
   readonly G: number
   readonly served: number
@@ -33,28 +33,28 @@
 }
 
 /**
- * Plays cells.
+ * Runs cells.
  *
- * @param cells - in the order in which they are begun
- * @param options - bench, sites and builds
- * @param onOutcome - told of each outcome
- * @param onFailure - told of each cell that gave none
+ * @param cells - cells in the order in which they are started
+ * @param options - paths of bench, sites and builds, and the concurrency
+ * @param onOutcome - called with the outcome of each successful run
+ * @param onFailure - called with the cell of each failed run and the reason
  */
 export async function playCells (cells: readonly Cell[], options: RunnerOptions, onOutcome: (outcome: Outcome) => Promise<void>, onFailure: (cell: Cell, detail: string) => void): Promise<void> {
-  const left = [...cells]
-  const work = async (): Promise<void> => {
-    for (let cell = left.shift(); cell !== undefined; cell = left.shift()) {
+  const queue = [...cells]
+  const worker = async (): Promise<void> => {
+    for (let cell = queue.shift(); cell !== undefined; cell = queue.shift()) {
       try {
-        await onOutcome(await playCell(cell, options))
+        await onOutcome(await runCell(cell, options))
       } catch (error) {
         onFailure(cell, error instanceof Error ? error.message : String(error))
       }
     }
   }
-  await Promise.all(Array.from({ length: options.jobs }, work))
+  await Promise.all(Array.from({ length: options.jobs }, worker))
 }
 
-async function playCell (cell: Cell, options: RunnerOptions): Promise<Outcome> {
+async function runCell (cell: Cell, options: RunnerOptions): Promise<Outcome> {
   const folder = await mkdtemp(join(tmpdir(), 'bendfall-compare-'))
   try {
     const reportPath = join(folder, 'report.json')
@@ -68,18 +68,18 @@
 
 function runBench (cell: Cell, reportPath: string, options: RunnerOptions): Promise<void> {
   const site = options.sites.get(cell.site) ?? ''
-  const seed = cell.seed === undefined ? [] : ['--seed', String(cell.seed)]
-  const processor = options.chargesProcessor ? [] : ['--no-cpu']
-  const args = ['run', site, cell.day, ...seed, ...processor, '--why', `${options.why} (${cell.variant})`, '--report', reportPath]
+  const seedArgs = cell.seed === undefined ? [] : ['--seed', String(cell.seed)]
+  const processorArgs = options.chargesProcessor ? [] : ['--no-cpu']
+  const args = ['run', site, cell.day, ...seedArgs, ...processorArgs, '--why', `${options.why} (${cell.variant})`, '--report', reportPath]
   return new Promise((resolve, reject) => {
     const child = spawn(options.bench, args, { cwd: options.folders.get(cell.variant), stdio: ['ignore', 'ignore', 'pipe'] })
     let errors = ''
     child.stderr.on('data', (chunk: Buffer) => { errors += chunk.toString() })
     child.on('error', reject)
     child.on('close', (code) => {
-      // A day with a broken rule ends with a code of its own and still has its report.
+      // The bench exits with 1 if a rule was violated; the report is still written.
       if (code === 0 || code === 1) resolve()
-      else reject(new Error(`the bench ended with ${code ?? 'a signal'}: ${errors.trim().slice(-200)}`))
+      else reject(new Error(`the bench exited with ${code ?? 'a signal'}: ${errors.trim().slice(-200)}`))
     })
   })
 }
--- a/packages/bendfall-compare/src/CompareStatistics.ts
+++ b/packages/bendfall-compare/src/CompareStatistics.ts
@@ -1,27 +1,28 @@
 /**
- * Mean difference of paired measurements and how sure it is.
+ * Computes the mean difference of paired measurements and its confidence interval.
  *
  * @module
  */
 import jstat from 'jstat'
 
-/** Probability with which the interval holds the true mean difference. */
+/** Confidence level of the interval. */
 const CONFIDENCE = 0.95
 
-/** A mean difference with its interval. */
+/** Mean difference with its confidence interval. */
 export interface PairedDifference {
+  /** Number of pairs. */
   readonly pairs: number
   readonly mean: number
-  /** Half of the interval; infinite for fewer than two pairs. */
+  /** Half the width of the interval; infinite for fewer than two pairs. */
   readonly halfWidth: number
-  /** Whether the interval covers zero. */
+  /** Whether the interval includes zero. */
   readonly isNoise: boolean
 }
 
 /**
- * Works out the mean of differences with its interval by Student's t.
+ * Computes the mean of differences and its confidence interval from Student's t distribution.
  *
- * @param differences - one a pair
+ * @param differences - one difference for each pair
  * @returns the mean and its interval
  */
 export function pairedDifference (differences: readonly number[]): PairedDifference {
@@ -32,6 +33,6 @@
 }
 
 function standardError (values: readonly number[], mean: number): number {
-  const squares = values.reduce((sum, value) => sum + (value - mean) ** 2, 0)
-  return Math.sqrt(squares / (values.length - 1) / values.length)
+  const squaredDeviations = values.reduce((sum, value) => sum + (value - mean) ** 2, 0)
+  return Math.sqrt(squaredDeviations / (values.length - 1) / values.length)
 }
--- a/packages/bendfall-compare/src/CompareTable.ts
+++ b/packages/bendfall-compare/src/CompareTable.ts
@@ -1,5 +1,6 @@
 /**
- * Table of a comparison: each variant against the base, by site.
+ * Compares each variant with the base for each site, and formats the result as a
+ * table.
  *
  * @module
  */
@@ -8,22 +9,22 @@
 import { pairedDifference } from './CompareStatistics.js'
 import type { PairedDifference } from './CompareStatistics.js'
 
-/** One row: a variant on one site. */
+/** Comparison of one variant with the base on one site. */
 export interface ComparisonRow {
   readonly variant: string
   readonly site: string
-  /** Worth of the base less that of the variant: what the base's choice gains. */
+  /** Worth of the base minus that of the variant; positive if the base's choice is better. */
   readonly gain: PairedDifference
-  /** Rules that the variant broke and the base did not, without repeats. */
+  /** Rules that the variant violated and the base did not, sorted and without duplicates. */
   readonly brokenRules: readonly string[]
 }
 
 /**
  * Pairs the outcomes of each variant with those of the base.
  *
- * @param outcomes - of all variants
+ * @param outcomes - outcomes of all variants, including the base
  * @param base - name of the base
- * @returns rows by variant and site, without those that have no pair
+ * @returns one row for each variant and site with at least one pair
  */
 export function compareWithBase (outcomes: readonly Outcome[], base: string): ComparisonRow[] {
   const baseByCell = new Map(outcomes.filter(({ variant }) => variant === base).map((outcome) => [nameOfCell(outcome), outcome]))
@@ -49,17 +50,17 @@
 }
 
 /**
- * Writes rows as a Markdown table.
+ * Formats rows as a Markdown table.
  *
- * @param rows - of a comparison
- * @returns lines of the table
+ * @param rows - rows from {@link compareWithBase}
+ * @returns the table with its header
  */
 export function toMarkdown (rows: readonly ComparisonRow[]): string {
   const lines = rows.map(({ brokenRules, gain, site, variant }) =>
-    `| ${variant} | ${site} | ${gain.pairs} | ${signed(gain.mean)} ± ${gain.halfWidth.toFixed(3)} | ${gain.isNoise ? 'noise' : gain.mean > 0 ? 'gain' : 'loss'} | ${brokenRules.join(', ')} |`)
+    `| ${variant} | ${site} | ${gain.pairs} | ${formatSigned(gain.mean)} ± ${gain.halfWidth.toFixed(3)} | ${gain.isNoise ? 'noise' : gain.mean > 0 ? 'gain' : 'loss'} | ${brokenRules.join(', ')} |`)
   return ['| variant | site | pairs | base less variant | | rules broken without it |', '|---|---|---|---|---|---|', ...lines].join('\n')
 }
 
-function signed (value: number): string {
+function formatSigned (value: number): string {
   return `${value < 0 ? '' : '+'}${value.toFixed(3)}`
 }
--- a/packages/bendfall-compare/src/CompareVariant.ts
+++ b/packages/bendfall-compare/src/CompareVariant.ts
@@ -1,5 +1,6 @@
 /**
- * Variants of the router: other checkouts, or the base with a mechanism switched.
+ * Creates variants of the router: other checkouts, or copies of the base with one
+ * mechanism switched.
  *
  * @module
  */
@@ -10,29 +11,29 @@
 import { Err, Ok } from 'ts-results-es'
 import type { Result } from 'ts-results-es'
 
-/** A build that is played. */
+/** A build to compare. */
 export interface Variant {
   readonly name: string
-  /** Folder of its checkout. */
+  /** Folder of the checkout. */
   readonly folder: string
 }
 
-/** A mechanism and the choice that replaces its default. */
+/** A mechanism of the router and the choice that replaces its default. */
 export interface Switch {
   readonly decision: DecisionName
   readonly choice: string
 }
 
-/** Where the settings of a checkout switch mechanisms. */
-const TEMPLATE = join('deploy', 'settings.json.template')
+/** Path, within a checkout, of the settings that select the choices of mechanisms. */
+const SETTINGS_TEMPLATE = join('deploy', 'settings.json.template')
 
 const NO_SWITCHES = '"decisions": {}'
 
 /**
- * Reads switches as written on the command line.
+ * Parses the switches given on the command line.
  *
  * @param text - `NAME=CHOICE` separated by commas, or `all`
- * @returns the switches, or what is wrong with the first bad one
+ * @returns the switches, or the error in the first invalid one
  */
 export function parseSwitches (text: string): Result<Switch[], string> {
   if (text === 'all') return Ok(allSwitches())
@@ -40,8 +41,8 @@
   for (const part of text.split(',').filter((one) => one !== '')) {
     const [name = '', choice = ''] = part.split('=')
     const choices: readonly string[] | undefined = DECISION_CHOICES[name as DecisionName]
-    if (choices === undefined) return Err(`"${name}" is no mechanism; known: ${Object.keys(DECISION_CHOICES).join(', ')}`)
-    if (!choices.includes(choice)) return Err(`"${choice}" is no choice of ${name}; known: ${choices.join(', ')}`)
+    if (choices === undefined) return Err(`"${name}" is not a mechanism; known: ${Object.keys(DECISION_CHOICES).join(', ')}`)
+    if (!choices.includes(choice)) return Err(`"${choice}" is not a choice of ${name}; known: ${choices.join(', ')}`)
     switches.push({ decision: name as DecisionName, choice })
   }
   return Ok(switches)
@@ -52,19 +53,19 @@
 }
 
 /**
- * Copies the base with one mechanism switched.
+ * Copies the base and switches one mechanism in the copy.
  *
- * @param base - the base
- * @param change - the switch
- * @returns the variant; its folder lies beside the base's
- * @throws Error when the base's settings already switch something
+ * @param base - variant to copy
+ * @param change - mechanism and choice to set in the copy
+ * @returns the variant, in a folder next to that of the base
+ * @throws Error if the base's settings already switch a mechanism
  */
 export async function createVariant (base: Variant, { choice, decision }: Switch): Promise<Variant> {
   const variant = { name: `${decision}=${choice}`, folder: `${base.folder}-${decision}-${choice}` }
-  const template = await readFile(join(base.folder, TEMPLATE), 'utf8')
-  if (!template.includes(NO_SWITCHES)) throw new Error(`${TEMPLATE} of ${base.name} must hold ${NO_SWITCHES}`)
+  const template = await readFile(join(base.folder, SETTINGS_TEMPLATE), 'utf8')
+  if (!template.includes(NO_SWITCHES)) throw new Error(`${SETTINGS_TEMPLATE} of ${base.name} must contain ${NO_SWITCHES}`)
   await rm(variant.folder, { recursive: true, force: true })
   await cp(base.folder, variant.folder, { recursive: true, verbatimSymlinks: true, preserveTimestamps: true })
-  await writeFile(join(variant.folder, TEMPLATE), template.replace(NO_SWITCHES, `"decisions": ${JSON.stringify({ [decision]: choice })}`))
+  await writeFile(join(variant.folder, SETTINGS_TEMPLATE), template.replace(NO_SWITCHES, `"decisions": ${JSON.stringify({ [decision]: choice })}`))
   return variant
 }
--- a/packages/bendfall-compare/src/__tests__/unit/Compare.test.ts
+++ b/packages/bendfall-compare/src/__tests__/unit/Compare.test.ts
@@ -10,7 +10,7 @@
   return { variant, site: 'mill', day: 'quiet', seed, worth, servedShare: worth, brokenRules }
 }
 
-test('the interval of paired differences is that of Student', () => {
+test('the interval of paired differences follows the t distribution', () => {
   const { halfWidth, isNoise, mean } = pairedDifference([0.1, 0.2, 0.3])
   assert.ok(Math.abs(mean - 0.2) < 1e-9)
   assert.ok(Math.abs(halfWidth - 4.303 * 0.1 / Math.sqrt(3)) < 1e-3)
@@ -18,11 +18,11 @@
   assert.is(pairedDifference([0.2, 0.21, 0.19]).isNoise, false)
 })
 
-test('one pair proves nothing', () => {
+test('a single pair is always noise', () => {
   assert.is(pairedDifference([0.5]).isNoise, true)
 })
 
-test('only the same day and seed make a pair', () => {
+test('only outcomes with the same day and seed form a pair', () => {
   const rows = compareWithBase([outcomeOf('base', 1, 0.5), outcomeOf('base', 2, 0.6), outcomeOf('off', 1, 0.4, ['LOST']), outcomeOf('off', 3, 0.1)], 'base')
   assert.is(rows.length, 1)
   assert.is(rows[0]?.gain.pairs, 1)
@@ -30,7 +30,7 @@
   assert.match(toMarkdown(rows), /\| off \| mill \| 1 \| \+0\.100 .* LOST \|/)
 })
 
-test('results outlive a stop in the middle of a line', async () => {
+test('results survive an interrupted write that leaves a truncated line', async () => {
   const folder = await mkdtemp(join(tmpdir(), 'compare-'))
   const path = join(folder, 'results.jsonl')
   const first = await openResults(path)
@@ -44,13 +44,13 @@
   await rm(folder, { recursive: true })
 })
 
-test('an unknown mechanism or choice is named', () => {
-  assert.match(parseSwitches('speed=fast').unwrapErr(), /"speed" is no mechanism/)
-  assert.match(parseSwitches('read=aloud').unwrapErr(), /"aloud" is no choice of read; known: by_forecast/)
+test('an unknown mechanism or choice is reported by name', () => {
+  assert.match(parseSwitches('speed=fast').unwrapErr(), /"speed" is not a mechanism/)
+  assert.match(parseSwitches('read=aloud').unwrapErr(), /"aloud" is not a choice of read; known: by_forecast/)
   assert.equal(parseSwitches('read=apart').unwrap(), [{ decision: 'read', choice: 'apart' }])
 })
 
-test('a variant differs from the base in one switch', async () => {
+test('a switched variant differs from the base in one setting', async () => {
   const folder = await mkdtemp(join(tmpdir(), 'compare-'))
   const base = { name: 'base', folder: join(folder, 'base') }
   await mkdir(join(base.folder, 'deploy'), { recursive: true })
--- a/packages/bendfall-compare/src/index.ts
+++ b/packages/bendfall-compare/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Paired comparisons of builds and settings.
+ * Paired comparisons of builds and settings of the router on the users' bench.
  *
  * @module
  */
--- a/packages/bendfall-compare/src/jstat.d.ts
+++ b/packages/bendfall-compare/src/jstat.d.ts
@@ -1,4 +1,4 @@
-/** The part of the library that is used; it has no types of its own. */
+/** Types for the used part of the library, which ships without type declarations. */
 declare module 'jstat' {
   const jstat: {
     readonly studentt: { readonly inv: (probability: number, degreesOfFreedom: number) => number }
