--- a/scripts/__tests__/knownRed.test.mjs
+++ b/scripts/__tests__/knownRed.test.mjs
@@ -1,6 +1,6 @@
-// The runner passes over the test that an entry of KNOWN-RED.txt names, and nothing else.
-// It once passed over the whole file: with a library missing the file did not load, and the
-// run closed with "0 passed, 1 failed" and exit code 0.
+// The test runner must tolerate only the failing test that an entry of KNOWN-RED.txt names. It used
+// to tolerate any failure of the whole file: when a library was missing, the file did not load, and
+// the run ended with "0 passed, 1 failed" and exit code 0.
 import { spawnSync } from 'node:child_process'
 import { cpSync, mkdirSync, mkdtempSync, rmSync, symlinkSync, writeFileSync } from 'node:fs'
 import { tmpdir } from 'node:os'
@@ -10,14 +10,14 @@
 
 const ROOT = new URL('../..', import.meta.url).pathname
 const ENTRY = 'Sample.test.ts | the known one | node scripts/test.mjs Sample | seen once | issue 7\n'
-const BOTH = (known, other) => `import { test } from 'uvu'
-test('the known one', () => { ${known} })
-test('another', () => { ${other} })
+const createTestFile = (listedBody, otherBody) => `import { test } from 'uvu'
+test('the known one', () => { ${listedBody} })
+test('another', () => { ${otherBody} })
 test.run()
 `
-const FAIL = "throw new Error('as known')"
+const THROW = "throw new Error('as known')"
 
-// A checkout with one compiled test file beside the runner of this one.
+// Runs a copy of this checkout's test runner in a temporary checkout with a single compiled test file.
 function runSample (compiled, knownRed, source = compiled) {
   const root = mkdtempSync(join(tmpdir(), 'bendfall-runner-'))
   try {
@@ -35,57 +35,57 @@
   }
 }
 
-test('all pass', () => {
-  const { status, lastLine } = runSample(BOTH('', ''), '')
+test('succeeds if all tests pass', () => {
+  const { status, lastLine } = runSample(createTestFile('', ''), '')
   assert.is(lastLine, '2 passed, 0 failed')
   assert.is(status, 0)
 })
 
-test('the listed test fails: counted, printed, passed over', () => {
-  const { status, stdout, lastLine } = runSample(BOTH(FAIL, ''), ENTRY)
+test('counts, prints and tolerates the failure of a listed test', () => {
+  const { status, stdout, lastLine } = runSample(createTestFile(THROW, ''), ENTRY)
   assert.match(stdout, /known red: .*Sample.test.js "the known one"/)
   assert.is(lastLine, '1 passed, 1 failed')
   assert.is(status, 0)
 })
 
-test('the listed test passes', () => {
-  const { status, lastLine } = runSample(BOTH('', ''), ENTRY)
+test('succeeds if a listed test passes', () => {
+  const { status, lastLine } = runSample(createTestFile('', ''), ENTRY)
   assert.is(lastLine, '2 passed, 0 failed')
   assert.is(status, 0)
 })
 
-test('another test of the file fails, alone or beside the listed one', () => {
-  for (const known of ['', FAIL]) {
-    assert.is(runSample(BOTH(known, FAIL), ENTRY).status, 1)
+test('fails if another test of the file fails, alone or together with the listed one', () => {
+  for (const known of ['', THROW]) {
+    assert.is(runSample(createTestFile(known, THROW), ENTRY).status, 1)
   }
 })
 
-test('the file does not load', () => {
-  const { status, lastLine } = runSample(`import 'no-such-library'\n${BOTH('', '')}`, ENTRY)
+test('fails if the file does not load', () => {
+  const { status, lastLine } = runSample(`import 'no-such-library'\n${createTestFile('', '')}`, ENTRY)
   assert.is(lastLine, '0 passed, 1 failed')
   assert.is(status, 1)
 })
 
-test('the process ends itself after the listed failure', () => {
-  assert.is(runSample(`${BOTH(FAIL, '')}process.on('exit', () => { process.exitCode = 3 })\n`, ENTRY).status, 1)
+test('fails if the process sets another exit code after the listed failure', () => {
+  assert.is(runSample(`${createTestFile(THROW, '')}process.on('exit', () => { process.exitCode = 3 })\n`, ENTRY).status, 1)
 })
 
-test('an entry whose test or file no longer exists', () => {
-  assert.is(runSample(BOTH('', ''), ENTRY.replace('the known one', 'a former one')).status, 1)
-  assert.is(runSample(BOTH('', ''), ENTRY.replace('Sample.test.ts', 'Former.test.ts')).status, 1)
+test('fails if the test or file of an entry no longer exists', () => {
+  assert.is(runSample(createTestFile('', ''), ENTRY.replace('the known one', 'a removed one')).status, 1)
+  assert.is(runSample(createTestFile('', ''), ENTRY.replace('Sample.test.ts', 'Removed.test.ts')).status, 1)
 })
 
-test('a line that is no entry, with its place', () => {
-  const { status, stdout } = runSample(BOTH('', ''), `${ENTRY}Sample.test.ts, seen once, issue 7\n`)
+test('fails on an invalid line and prints its line number', () => {
+  const { status, stdout } = runSample(createTestFile('', ''), `${ENTRY}Sample.test.ts, seen once, issue 7\n`)
   assert.match(stdout, /KNOWN-RED.txt:2:/)
   assert.is(status, 1)
 })
 
-test('more than three entries', () => {
-  assert.is(runSample(BOTH('', ''), ENTRY.repeat(4)).status, 0)
+test('accepts more than three entries', () => {
+  assert.is(runSample(createTestFile('', ''), ENTRY.repeat(4)).status, 0)
 })
 
-test('no test at all is no success', () => {
+test('fails if there are no tests', () => {
   assert.is(runSample('', '').status, 1)
 })
 
--- a/scripts/ablate.mjs
+++ b/scripts/ablate.mjs
@@ -1,5 +1,6 @@
-// Switches each mechanism of the router off in virtual time, paired by load and seed,
-// and prints what it is worth: streams on time, and unserved, of a hundred that were asked.
+// Ablation study in virtual time: compares the router with default choices to the router with one
+// mechanism switched, paired by load and seed. Prints the differences in percentage points of the
+// requested streams that were on time or unserved, and in the longest hold before a refusal.
 import { pairedDifference } from 'bendfall-compare'
 import { DECISION_CHOICES } from 'bendfall-router'
 import { playLoad } from '../packages/bendfall-router/dist/__tests__/unit/LoadWorld.js'
@@ -36,10 +37,10 @@
 console.log('|---|---|---|---|')
 for (const [name, [, ...others]] of Object.entries(DECISION_CHOICES)) {
   for (const choice of others) {
-    const off = playAll({ [name]: choice })
-    const onTime = pairedDifference(base.map((result, i) => percentOf(result, 'onTime') - percentOf(off[i], 'onTime')))
-    const unserved = pairedDifference(base.map((result, i) => percentOf(result, 'unserved') - percentOf(off[i], 'unserved')))
-    const holdMs = pairedDifference(base.map((result, i) => result.longestRefusalMs - off[i].longestRefusalMs))
+    const alternative = playAll({ [name]: choice })
+    const onTime = pairedDifference(base.map((result, i) => percentOf(result, 'onTime') - percentOf(alternative[i], 'onTime')))
+    const unserved = pairedDifference(base.map((result, i) => percentOf(result, 'unserved') - percentOf(alternative[i], 'unserved')))
+    const holdMs = pairedDifference(base.map((result, i) => result.longestRefusalMs - alternative[i].longestRefusalMs))
     console.log(`| \`${name}\`, \`${choice}\` | ${describe(onTime)} | ${describe(unserved)} | ${holdMs.mean.toFixed(0)} |`)
   }
 }
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,12 +1,12 @@
-// Bundles the service for the users' platform into one file under target/,
-// straight from the sources of the workspace, so that no compiler run is needed.
+// Bundles the service for the users' platform into one file under target/. The bundler reads the
+// TypeScript sources of the workspace, so that no compiler run is needed.
 import { existsSync } from 'node:fs'
 import { join } from 'node:path'
 import { build } from 'esbuild'
 
 const ROOT = new URL('..', import.meta.url).pathname
 
-/** Finds the sources of a package of this workspace. */
+/** Resolves packages of this workspace to their TypeScript sources. */
 const workspaceSources = {
   name: 'workspace-sources',
   setup (bundler) {
@@ -19,8 +19,8 @@
 }
 
 /**
- * Parts of libraries that the processes use, in place of their whole index: a process
- * of a small instance parses and runs all of the bundle before it serves.
+ * Replacements for the index modules of libraries, with only the exports that the processes use.
+ * A process parses and evaluates the whole bundle before it serves, which matters on small instances.
  */
 const USED_PARTS = {
   undici: `
@@ -30,7 +30,7 @@
   'hdr-histogram-js': "export { build } from 'hdr-histogram-js/dist/HistogramBuilder.js'"
 }
 
-/** Takes the used parts of libraries only. A name that they lack fails the build. */
+/** Substitutes {@link USED_PARTS} for the libraries. Importing a name that they lack fails the build. */
 const usedParts = {
   name: 'used-parts',
   setup (bundler) {
@@ -47,11 +47,11 @@
   platform: 'node',
   target: 'node20',
   format: 'esm',
-  // Every process parses the whole bundle at its start.
+  // Each process parses the whole bundle at start-up.
   minifyWhitespace: true,
   sourcemap: 'linked',
   plugins: [workspaceSources, usedParts],
-  // Some dependencies are CommonJS and ask for Node's own modules.
+  // Some dependencies are CommonJS modules that call require() for built-in modules of Node.js.
   banner: { js: "import { createRequire as bendfallRequire } from 'node:module'; const require = bendfallRequire(import.meta.url);" },
   logLevel: 'warning'
 })
--- a/scripts/knownRed.mjs
+++ b/scripts/knownRed.mjs
@@ -1,19 +1,20 @@
 /**
- * The list of known failures and what it excuses: one test of one file an entry, so that
- * another failure beside it, or a file that does not load, still fails the run.
+ * Reads the list of known test failures and applies it to test results. Each entry names a single
+ * test of a single file, so that any other failure, or a file that does not load, still fails the run.
  */
 import { existsSync, readFileSync } from 'node:fs'
 import { basename, join } from 'node:path'
 
-const FIELDS = ['file', 'test', 'command', 'seen', 'issue']
+const ENTRY_FIELDS = ['file', 'test', 'command', 'seen', 'issue']
 const SEPARATOR = ' | '
 
 /**
- * Reads the list: `<test file> | <test name> | <command and seed> | <what was seen> | issue <number>` a line.
+ * Parses the list. Each line has the form
+ * `<test file> | <test name> | <command and seed> | <what was seen> | issue <number>`.
  *
- * @param {string} text - of the list
+ * @param {string} text - content of the list
  * @returns {{ entries: Array<{ file: string, test: string, command: string, seen: string, issue: string }>, findings: string[] }}
- *   the entries, and each line that is none with its place
+ *   the entries, and a finding with the line number for each invalid line
  */
 export function parseKnownRed (text) {
   const entries = []
@@ -21,19 +22,19 @@
   for (const [index, line] of text.split('\n').entries()) {
     if (line.trim() === '') continue
     const parts = line.split(SEPARATOR).map((part) => part.trim())
-    const isEntry = parts.length === FIELDS.length && parts.every((part) => part !== '') && /^issue \d+$/.test(parts.at(-1))
-    if (isEntry) entries.push(Object.fromEntries(FIELDS.map((field, place) => [field, parts[place]])))
-    else findings.push(`KNOWN-RED.txt:${index + 1}: not an entry of the form ${FIELDS.join(SEPARATOR)}`)
+    const isEntry = parts.length === ENTRY_FIELDS.length && parts.every((part) => part !== '') && /^issue \d+$/.test(parts.at(-1))
+    if (isEntry) entries.push(Object.fromEntries(ENTRY_FIELDS.map((field, place) => [field, parts[place]])))
+    else findings.push(`KNOWN-RED.txt:${index + 1}: not an entry of the form ${ENTRY_FIELDS.join(SEPARATOR)}`)
   }
   return { entries, findings }
 }
 
 /**
- * Finds entries whose test does not exist any more.
+ * Finds entries whose test no longer exists.
  *
- * @param {Array<{ file: string, test: string }>} entries - of the list
- * @param {string[]} sourcePaths - sources of all tests
- * @returns {string[]} a finding for each
+ * @param {Array<{ file: string, test: string }>} entries - entries of the list
+ * @param {string[]} sourcePaths - paths of the sources of all tests
+ * @returns {string[]} one finding for each such entry
  */
 export function findStaleEntries (entries, sourcePaths) {
   const stale = entries.filter(({ file, test }) => {
@@ -44,12 +45,12 @@
 }
 
 /**
- * Reads what a test file printed.
+ * Parses the output of a test file.
  *
- * @param {string} output - of uvu
- * @param {number | null} code - exit code; null after a signal
- * @returns {{ passed: number, failed: number, failedTests: string[], isWhole: boolean }}
- *   counts, names of the tests that failed, and whether those names account for all that failed
+ * @param {string} output - output of uvu
+ * @param {number | null} code - exit code; null if a signal ended the process
+ * @returns {{ passed: number, failed: number, failedTests: string[], isComplete: boolean }}
+ *   counts, names of the failed tests, and whether these names account for all failures
  */
 export function readResult (output, code) {
   const plain = output.replace(/\x1b\[[0-9;]*m/g, '') // eslint-disable-line no-control-regex
@@ -57,30 +58,30 @@
   const passed = Number(/Passed:\s+(\d+)/.exec(plain)?.[1] ?? 0)
   const failed = Math.max(total - passed, code === 0 && total > 0 ? 0 : 1)
   const failedTests = [...plain.matchAll(/^ {2} FAIL {2}.*?"(.*)"$/gm)].map(([, name]) => name)
-  const isWhole = total > 0 && total - passed === failedTests.length && (failedTests.length > 0) === (code === 1) && (code === 0 || code === 1)
-  return { passed, failed, failedTests, isWhole }
+  const isComplete = total > 0 && total - passed === failedTests.length && (failedTests.length > 0) === (code === 1) && (code === 0 || code === 1)
+  return { passed, failed, failedTests, isComplete }
 }
 
 /**
- * Divides the failures of a file.
+ * Separates the known failures of a file from others.
  *
- * @param {Array<{ file: string, test: string }>} entries - of the list
- * @param {{ file: string, failedTests: string[], isWhole: boolean, failed: number }} result - of the file
- * @returns {{ known: string[], isFresh: boolean }} failures that the list names, and whether there are others
+ * @param {Array<{ file: string, test: string }>} entries - entries of the list
+ * @param {{ file: string, failedTests: string[], isComplete: boolean, failed: number }} result - result of the file
+ * @returns {{ known: string[], hasUnlistedFailure: boolean }} listed failures, and whether there are others
  */
-export function judgeResult (entries, { file, failedTests, isWhole, failed }) {
-  if (failed === 0) return { known: [], isFresh: false }
+export function judgeResult (entries, { file, failedTests, isComplete, failed }) {
+  if (failed === 0) return { known: [], hasUnlistedFailure: false }
   const source = basename(file).replace(/\.js$/, '.ts')
   const names = new Set(entries.filter((entry) => entry.file === source).map(({ test }) => test))
   const known = failedTests.filter((test) => names.has(test))
-  return { known, isFresh: !isWhole || known.length < failedTests.length }
+  return { known, hasUnlistedFailure: !isComplete || known.length < failedTests.length }
 }
 
 /**
- * Reads the list of a checkout.
+ * Reads KNOWN-RED.txt of a checkout.
  *
- * @param {string} root - of the checkout
- * @returns {string} its text; empty without a list
+ * @param {string} root - root folder of the checkout
+ * @returns {string} content of the list; empty if there is none
  */
 export function readKnownRed (root) {
   const path = join(root, 'KNOWN-RED.txt')
--- a/scripts/test.mjs
+++ b/scripts/test.mjs
@@ -1,12 +1,12 @@
-// Runs every compiled unit and process test with uvu, one process a file,
-// and closes with one line of real counts: "N passed, N failed".
+// Runs all compiled unit and process tests with uvu, one process for each file. The last line of the
+// output has the total counts: "N passed, N failed".
 import { spawn } from 'node:child_process'
 import { existsSync, readdirSync } from 'node:fs'
 import { join, relative } from 'node:path'
 import { findStaleEntries, judgeResult, parseKnownRed, readKnownRed, readResult } from './knownRed.mjs'
 
 const ROOT = new URL('..', import.meta.url).pathname
-const PARALLEL = Number(process.env.BENDFALL_TEST_JOBS ?? 4)
+const CONCURRENCY = Number(process.env.BENDFALL_TEST_JOBS ?? 4)
 const FILE_TIMEOUT_MS = 150_000
 const filters = process.argv.slice(2)
 
@@ -26,15 +26,15 @@
     const dir = join(ROOT, folder, 'dist', '__tests__')
     return listFiles(dir, '.test.js').filter((file) => hasSource(folder, relative(dir, file)))
   })
-  const ofScripts = listFiles(join(ROOT, 'scripts', '__tests__'), '.test.mjs')
-  return [...compiled, ...ofScripts].filter((file) => filters.every((part) => file.includes(part)))
+  const scriptTests = listFiles(join(ROOT, 'scripts', '__tests__'), '.test.mjs')
+  return [...compiled, ...scriptTests].filter((file) => filters.every((part) => file.includes(part)))
 }
 
 function findSources () {
   return listPackages().flatMap((folder) => listFiles(join(ROOT, folder, 'src', '__tests__'), '.test.ts'))
 }
 
-// A compiled test whose source is gone is a leftover of an earlier build.
+// A compiled test without a source is left over from a previous build.
 function hasSource (folder, entry) {
   return existsSync(join(ROOT, folder, 'src', '__tests__', entry.replace(/\.js$/, '.ts')))
 }
@@ -63,17 +63,17 @@
     if (result.failed > 0) console.log(result.output)
   }
 }
-await Promise.all(Array.from({ length: PARALLEL }, worker))
+await Promise.all(Array.from({ length: CONCURRENCY }, worker))
 
 const { entries, findings } = parseKnownRed(readKnownRed(ROOT))
 findings.push(...findStaleEntries(entries, findSources()))
-const judged = results.map((result) => ({ file: result.file, ...judgeResult(entries, result) }))
-for (const { file, known } of judged) {
+const judgedResults = results.map((result) => ({ file: result.file, ...judgeResult(entries, result) }))
+for (const { file, known } of judgedResults) {
   for (const name of known) console.log(`known red: ${file} "${name}"`)
 }
 for (const finding of findings) console.log(finding)
 const passed = results.reduce((sum, result) => sum + result.passed, 0)
 const failed = results.reduce((sum, result) => sum + result.failed, 0)
 console.log(`${passed} passed, ${failed} failed`)
-const isGreen = findings.length === 0 && passed > 0 && !judged.some(({ isFresh }) => isFresh)
-process.exitCode = isGreen ? 0 : 1
+const isSuccess = findings.length === 0 && passed > 0 && !judgedResults.some(({ hasUnlistedFailure }) => hasUnlistedFailure)
+process.exitCode = isSuccess ? 0 : 1
