--- a/packages/bendfallctl/src/BendfallctlCheck.ts
+++ b/packages/bendfallctl/src/BendfallctlCheck.ts
@@ -69,7 +69,7 @@
 }
 
 function cleanResult (file: string, kind: DocumentKind, warnings: readonly Finding[]): CommandResult {
-  const end = `${file}: no findings that stand in the way`
+  const end = `${file}: no findings that block the use of the file`
   const text = warnings.length === 0 ? `${file}: no findings` : `${formatFindings(warnings)}\n${end}`
   return { exit: 'done', text, json: { kind, findings: warnings } }
 }
--- a/packages/bendfallctl/src/BendfallctlConfirmText.ts
+++ b/packages/bendfallctl/src/BendfallctlConfirmText.ts
@@ -22,10 +22,10 @@
   in_force: ({ version }) => ['done', `The intent is in force as version ${version}: nothing to confirm.`],
   blocked: ({ plan }) => ['findings', `Nothing was changed.\n\n${formatPlan(plan)}`],
   conflict: ({ reason, plan }) => {
-    const fresh = plan === undefined ? 'Make a fresh plan once the services answer.' : `The plan of this moment:\n\n${formatPlan(plan)}`
+    const fresh = plan === undefined ? 'Make a fresh plan once the services answer.' : `The current plan:\n\n${formatPlan(plan)}`
     return ['conflict', `${CONFLICT_TEXTS[reason]}\nNothing was changed by this command. ${fresh}`]
   },
-  superseded: ({ version, sentVersion, writeId }) => ['outage', `The answer to write ${writeId} was lost, and version ${version} stands by now. Whether version ${sentVersion} was this write can't be known from what is stored: another operator wrote after it or instead of it.\n\`bendfallctl timeline --subject config/${sentVersion}\` shows the write id of that version where a process had it in force. Make a fresh plan.`],
+  superseded: ({ version, sentVersion, writeId }) => ['outage', `The answer to write ${writeId} was lost, and version ${version} is stored now. Whether version ${sentVersion} was this write can't be known from what is stored: another operator wrote after it or instead of it.\n\`bendfallctl timeline --subject config/${sentVersion}\` shows the write id of that version where a process had it in force. Make a fresh plan.`],
   unresolved: ({ writeId, detail }) => ['outage', `Write ${writeId} was sent and may have taken effect; reading it back failed: ${detail}.\nRun the same command again: it reads before it writes.`],
   failed: ({ failure }) => {
     const { exit } = failedResult(failure)
--- a/packages/bendfallctl/src/BendfallctlCrashes.ts
+++ b/packages/bendfallctl/src/BendfallctlCrashes.ts
@@ -27,7 +27,7 @@
   readonly unread: readonly string[]
 }
 
-type ReadCrashes = { readonly type: 'read', readonly crashes: StoredCrashes } | { readonly type: 'outage', readonly detail: string }
+type CrashesReadResult = { readonly type: 'read', readonly crashes: StoredCrashes } | { readonly type: 'outage', readonly detail: string }
 
 /**
  * Lists the suspected requests.
@@ -74,7 +74,7 @@
   return { exit: 'outage', text: `The key-value service gave no answer: ${detail}`, json: { detail } }
 }
 
-async function readCrashes (port: KeyValuePort): Promise<ReadCrashes> {
+async function readCrashes (port: KeyValuePort): Promise<CrashesReadResult> {
   const listed = await port.list(CRASH_PREFIX)
   if (listed.type === 'unavailable') return { type: 'outage', detail: listed.detail }
   const cleared = await port.get(CRASHES_CLEARED_KEY)
--- a/packages/bendfallctl/src/BendfallctlExplain.ts
+++ b/packages/bendfallctl/src/BendfallctlExplain.ts
@@ -70,17 +70,17 @@
 export async function explainFailures (files: readonly string[]): Promise<CommandResult> {
   const lastFailures = new Map<string, string>()
   const causes = new Map<string, string[]>()
-  const losses = createLossRecorder()
+  const recorder = createLossRecorder()
   const outcome = await readFiles(files, (line) => {
     recordLine(line, lastFailures, causes)
     const requestId = requestIdOf(line)
     // Sidecars log the same request concurrently with its entry. Only the entry's lines, which have the field `request`, are steps.
-    if (requestId !== undefined && line.fields.has('request')) losses.take(requestId, line)
+    if (requestId !== undefined && line.fields.has('request')) recorder.take(requestId, line)
   })
   const rows = [...causes].map(([cause, ids]): FailureCause => ({ cause, count: ids.length, requestIds: ids.slice(0, MAX_SHOWN_IDS) })).sort((a, b) => b.count - a.count)
   const text = rows.map(({ cause, count, requestIds }) => `${String(count).padStart(6)}  ${cause}  ${requestIds.join(' ')}`)
-  const late = losses.late()
-  const seconds = losses.seconds()
+  const late = recorder.late()
+  const seconds = recorder.seconds()
   const lines = [...(rows.length === 0 ? ['no failed request'] : text), ...describeLate(late), ...describeSeconds(seconds), ...formatUnread(outcome)]
   return { exit: exitNameOf(outcome, true), text: lines.join('\n'), json: { causes: rows, late, seconds, ...outcome } }
 }
@@ -150,7 +150,7 @@
 }
 
 function formatUnread ({ unreadFiles, unreadLines }: ReadOutcome): string[] {
-  const lines = unreadLines === 0 ? [] : [`${unreadLines} lines are none of bendfall's, or were cut`]
+  const lines = unreadLines === 0 ? [] : [`${unreadLines} lines are not from bendfall or are truncated`]
   return [...lines, ...unreadFiles.map((file) => `not read: ${file}`)]
 }
 
--- a/packages/bendfallctl/src/BendfallctlPlanText.ts
+++ b/packages/bendfallctl/src/BendfallctlPlanText.ts
@@ -67,7 +67,7 @@
 
 function formatEnd (plan: Plan): string {
   if (!plan.isChange) return 'The intent is in force: nothing to confirm.'
-  if (!isConfirmable(plan)) return 'The plan cannot be confirmed: mend the findings that block it.'
+  if (!isConfirmable(plan)) return 'The plan cannot be confirmed: fix the findings that block it.'
   return `Confirm with: bendfallctl confirm --digest ${plan.digest}`
 }
 
--- a/packages/bendfallctl/src/__tests__/unit/BendfallctlExplain.test.ts
+++ b/packages/bendfallctl/src/__tests__/unit/BendfallctlExplain.test.ts
@@ -58,7 +58,7 @@
 
 test('truncated lines are counted and skipped', () => withFiles(async (files) => {
   const { text } = await explainFailures(files)
-  assert.match(text, '2 lines are none of bendfall')
+  assert.match(text, '2 lines are not from bendfall')
 }))
 
 test('an id without any log line is a failure', () => withFiles(async (files) => {
