--- a/packages/bendfall-protocol/src/index.ts
+++ b/packages/bendfall-protocol/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * Messages and services between bendfall processes, generated from the proto
- * files beside this package's sources.
+ * Messages and services between bendfall processes, generated from the files in
+ * this package's `proto` folder.
  *
  * @module
  */
