--- a/packages/bendfallctl/src/BendfallctlConfirm.ts
+++ b/packages/bendfallctl/src/BendfallctlConfirm.ts
@@ -48,7 +48,7 @@
  *
  * @param ports - key-value service and instance list to plan from and write to
  * @param request - intent, expected digest and write id
- * @returns what was written, or why nothing was or may have been written
+ * @returns whether the plan was written, and if not or if unknown, why
  */
 export async function confirmPlan (ports: PlanPorts, request: ConfirmRequest): Promise<ConfirmOutcome> {
   const planned = await makePlan(ports, request)
--- a/packages/bendfallctl/src/BendfallctlConfirmText.ts
+++ b/packages/bendfallctl/src/BendfallctlConfirmText.ts
@@ -36,7 +36,7 @@
 /**
  * Describes an outcome for operators.
  *
- * @param outcome - any outcome of {@link confirmPlan}
+ * @param outcome - any outcome of `confirmPlan`
  * @returns exit code and text, with the outcome itself as JSON
  */
 export function describeConfirm (outcome: ConfirmOutcome): CommandResult {
