--- a/packages/bendfall-router/src/entry/BendfallRouterPermitWait.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterPermitWait.ts
@@ -1,6 +1,7 @@
 /**
- * Decides how a request goes on for which no replica has a permit: one that can have a permit
- * soon waits for it, the others are refused at once, with the time until there is one for them.
+ * Handles requests for which every usable replica is out of rate limit permits. A request that can
+ * get a permit soon waits for it; any other is refused at once with a `Retry-After` that tells its
+ * caller when a permit is expected.
  *
  * @module
  */
@@ -12,38 +13,38 @@
 import { askPermits, limitedReplicas } from './BendfallRouterReplicaLimit.js'
 import type { PermitStep, RequestState } from './BendfallRouterRequest.js'
 
-/** Longest wait of a request for a permit. */
+/** Longest time that a request waits for a permit. */
 const LONGEST_WAIT_MS = 150
 
-/** Requests that may wait, beside those that permits of the longest wait serve. */
+/** Requests that may wait in addition to those that the permits of one maximum wait can serve. */
 const WAITING_BESIDE = 2
 
-/** Told to callers while no keeper answers: another one is chosen within seconds. */
+/** `Retry-After` while the limit leader does not respond; a new leader is elected within seconds. */
 const UNKNOWN_RETRY_MS = 500
 
-/** Waits that are told to callers. */
+/** Bounds of the `Retry-After` sent to callers. */
 const SHORTEST_RETRY_MS = 50
 const LONGEST_RETRY_MS = 4_000
 
-/** Waits are told up to this much longer, so that callers who were told the same come apart. */
+/** Random increase of `Retry-After`, so that callers refused at the same time do not return together. */
 const SPREAD = 0.2
 
 const MS_PER_SECOND = 1_000
 
-/** A request that has waited. */
+/** A request that stops waiting for a permit, with the step to retry. */
 export interface WaitedRequest {
   readonly request: RequestState
   readonly step: PermitStep
 }
 
 /**
- * Tells how a request goes on for which no replica has a permit.
+ * Makes a request wait for a permit or refuses it if rate limits leave no replica usable.
  *
- * @param context - of the event
- * @param request - the request
- * @param stage - pool that is needed
- * @param step - that follows the wait
- * @returns what follows; undefined when no limit is in the way
+ * @param context - state, time and effects of the current event
+ * @param request - request that needs a replica
+ * @param stage - pool that the replica must belong to
+ * @param step - step to retry after the wait
+ * @returns the next step; undefined when no rate limit blocks the request
  */
 export function awaitPermit (context: RouterContext, request: RequestState, stage: ReplicaStage, step: PermitStep): { readonly next: NextStep } | undefined {
   const { nowMs, state } = context
@@ -61,16 +62,16 @@
 }
 
 /**
- * Has those go on that waited for permits of a replica's service: those that can be on time
- * before the others, the most urgent first.
+ * Removes the requests that wait for permits of a replica's service from the wait list. Requests
+ * that can still meet their target come first, each group in order of priority.
  *
- * @param context - of the event
- * @param replicaId - of the replica that the keeper was asked for
- * @returns requests that go on, each with its step
+ * @param context - state, time and effects of the current event
+ * @param replicaId - replica for which permits were requested from the limit leader
+ * @returns requests to resume in order, each with its step
  */
 export function takePermitWaiters (context: RouterContext, replicaId: string): WaitedRequest[] {
   const { nowMs, state } = context
-  // Of a replica that is gone meanwhile the service is not known: all look again.
+  // If the replica was removed in the meantime, its service is unknown and all waiting requests are retried.
   const service = state.replicas.get(replicaId)?.replica.service
   const waiting = [...state.permitWaiters].flatMap((key) => state.requests.get(key) ?? []).filter((request) => service === undefined || request.service === service)
   const isLate = ({ targetAtMs }: RequestState): number => targetAtMs < nowMs ? 1 : 0
@@ -83,10 +84,10 @@
 }
 
 /**
- * Notes that a request waits for a permit no longer.
+ * Removes a request from the wait list.
  *
- * @param context - of the event
- * @param request - the request
+ * @param context - state, time and effects of the current event
+ * @param request - request that no longer waits for a permit
  */
 export function endPermitWait ({ state }: RouterContext, request: RequestState): void {
   state.permitWaiters.delete(request.key)
@@ -110,7 +111,7 @@
   request.permitStep = step
 }
 
-// Callers of one entry are told to return one after the other, as fast as its part of the permits comes.
+// Spaces the retries of refused callers at the rate at which this entry receives its share of the permits.
 function refuseLimited (context: RouterContext, request: RequestState, freeAtMs: number, perS: number): NextStep {
   const { nowMs, state } = context
   logDecision(context, request, 'permits_lacking', { perS: Math.round(perS * 100) / 100, freeInMs: Math.round(freeAtMs - nowMs), waiting: state.permitWaiters.size })
--- a/packages/bendfall-router/src/entry/BendfallRouterPermits.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterPermits.ts
@@ -1,6 +1,6 @@
 /**
- * Has each send to a replica that names a limit use a permit, which is leased ahead of the
- * requests as far as they come.
+ * Spends one permit for each send to a replica that advertises a rate limit. Permits are leased
+ * ahead of demand from the elected limit leader.
  *
  * @module
  */
@@ -13,15 +13,15 @@
 import type { RequestState } from './BendfallRouterRequest.js'
 import type { ReplicaBelief } from './BendfallRouterState.js'
 
-/** A permit of a run that waits for its prompt to be read holds for so long. */
+/** Time for which a run keeps its permit while its prompt is prefilled. */
 const CARRIED_MS = 2_000
 
 /**
- * Asks for permits of the replicas that a request could use, as far as they lack.
+ * Requests permits for each replica that a request could use and that has none left.
  *
- * @param context - of the event
- * @param request - the request
- * @param stage - pool that is needed
+ * @param context - state, time and effects of the current event
+ * @param request - request that needs a replica
+ * @param stage - pool that the replica must belong to
  */
 export function wantPermits (context: RouterContext, request: RequestState, stage: ReplicaStage): void {
   const { nowMs, state } = context
@@ -34,10 +34,10 @@
 }
 
 /**
- * Uses a permit for a send, if the replica names a limit.
+ * Spends a permit for a send if the replica advertises a rate limit.
  *
- * @param context - of the event
- * @param belief - about the replica
+ * @param context - state, time and effects of the current event
+ * @param view - replica that the send goes to
  * @returns whether the send may be made
  */
 export function takePermit ({ nowMs, state }: RouterContext, { replica }: ReplicaBelief): boolean {
@@ -49,11 +49,12 @@
 }
 
 /**
- * Tells whether a replica may be called for what lapses by itself, and uses a permit for it.
+ * Checks whether a replica may be called to release a resource that would otherwise expire, and
+ * spends a permit for the call.
  *
- * @param context - of the event
- * @param replicaId - of the replica
- * @returns false where the replica wants no call, or takes no more
+ * @param context - state, time and effects of the current event
+ * @param replicaId - replica that holds the resource
+ * @returns false while the replica asks for backoff or its rate limit is exhausted
  */
 export function mayRelease (context: RouterContext, replicaId: string): boolean {
   const { nowMs, state } = context
@@ -63,12 +64,12 @@
 }
 
 /**
- * Takes the permit for a run when its memory is booked, so that no prompt is read for a
- * run that the limit does not let through.
+ * Acquires the permit for a run when its memory is booked, so that no prompt is prefilled for a
+ * run that the rate limit would block.
  *
- * @param context - of the event
- * @param request - the request
- * @param belief - about the replica
+ * @param context - state, time and effects of the current event
+ * @param request - request that keeps the permit
+ * @param view - replica that the memory is booked at
  */
 export function carryPermit (context: RouterContext, request: RequestState, belief: ReplicaBelief): void {
   if (limitOf(context.state, belief.replica) === undefined || !takePermit(context, belief)) return
@@ -76,11 +77,12 @@
 }
 
 /**
- * Uses the permit that a run carries, or another one.
+ * Spends the permit that a run acquired earlier, or a new one if that has expired or is for another
+ * process.
  *
- * @param context - of the event
- * @param request - the request
- * @param belief - about the replica that it is sent to
+ * @param context - state, time and effects of the current event
+ * @param request - request to send
+ * @param view - replica that it is sent to
  * @returns whether the send may be made
  */
 export function usePermitOf (context: RouterContext, request: RequestState, belief: ReplicaBelief): boolean {
@@ -95,10 +97,10 @@
 }
 
 /**
- * Gives the permit back that a run carried which was not sent.
+ * Returns the permit of a run that was not sent.
  *
- * @param context - of the event
- * @param request - the request
+ * @param context - state, time and effects of the current event
+ * @param request - request whose permit is returned, if it has one
  */
 export function leavePermit ({ state }: RouterContext, request: RequestState): void {
   const limit = state.limits.get(request.permit?.processName ?? '')
--- a/packages/bendfall-router/src/entry/BendfallRouterPlain.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterPlain.ts
@@ -1,5 +1,6 @@
 /**
- * Sends calls without a prompt to the replica that is likely to answer first.
+ * Sends calls without a prompt to the replica with the lowest expected latency and handles their
+ * responses and failures.
  *
  * @module
  */
@@ -19,33 +20,33 @@
 import type { RequestState } from './BendfallRouterRequest.js'
 import type { ReplicaBelief } from './BendfallRouterState.js'
 
-/** Told to callers when no replica is known: registrations are read within a second. */
+/** `Retry-After` when no replica is known; registrations are read within a second. */
 const NO_REPLICA_RETRY_MS = 1_000
 
-/** Told to callers when replicas refused: a few services' times of a full queue. */
+/** `Retry-After` when replicas refused the request: a few service times of a full queue. */
 const REFUSED_RETRY_MS = 500
 
-/** Candidates of which the best is taken; more would make all entries choose the same replica. */
+/** Candidates among which the best is chosen; with more, all entries would choose the same replica. */
 const CANDIDATES = 6
 
-/** A replica for which a permit is at hand is chosen although it is expected to take so much longer. */
+/** Extra expected latency, as a share and as a constant, that is accepted for a replica with an available permit. */
 const PERMIT_WORTH_SHARE = 0.3
 const PERMIT_WORTH_MS = 20
 
-/** Time of an answer before any was measured. */
+/** Assumed latency of a replica before the first measurement. */
 const FIRST_LATENCY_MS = 40
 
-/** A send that may be repeated is given up after this many mean times of an answer. */
+/** Timeout of a repeatable send, as a multiple of the mean latency of the replica. */
 const TRY_TIMEOUT_MEANS = 6
 
-/** Shortest such time: twice the target of the users' quickest calls. */
+/** Lower bound of that timeout: twice the latency target of the users' fastest calls. */
 const SHORTEST_TRY_TIMEOUT_MS = 300
 
 /**
- * Sends a call to a replica.
+ * Sends a call to the replica with the lowest expected latency.
  *
- * @param context - of the event
- * @param request - the request
+ * @param context - state, time and effects of the current event
+ * @param request - request to send
  * @returns the next step
  */
 export function startPlain (context: RouterContext, request: RequestState): NextStep {
@@ -69,7 +70,7 @@
   return undefined
 }
 
-// Without another replica a retry would give up an answer that is ready.
+// Without another replica, a retry would discard a response that is already available.
 function hasOther (context: RouterContext, request: RequestState): boolean {
   return usableReplicas(context, request, stageFor(request)).some(({ replica }) => replica.replicaId !== request.runAt)
 }
@@ -86,12 +87,12 @@
 }
 
 /**
- * Takes the whole answer of a call. A failure of the replica is tried again
- * where that is allowed; any other answer goes to the caller.
+ * Handles the complete response to a call. A failed one is retried on another replica where that
+ * is allowed; any other response is delivered to the caller.
  *
- * @param context - of the event
- * @param request - the request
- * @param event - the answer
+ * @param context - state, time and effects of the current event
+ * @param request - request that was answered
+ * @param event - response of the replica
  * @returns the next step
  */
 export function takePlainAnswer (context: RouterContext, request: RequestState, event: RouterEventOf<'answer_complete'>): NextStep {
@@ -109,11 +110,11 @@
 }
 
 /**
- * Takes the failure of a send.
+ * Handles a send that failed without a complete response.
  *
- * @param context - of the event
- * @param request - the request
- * @param failure - how it failed
+ * @param context - state, time and effects of the current event
+ * @param request - request whose send failed
+ * @param failure - how the send failed, which decides whether the request may have run
  * @returns the next step
  */
 export function takePlainFailure (context: RouterContext, request: RequestState, failure: SendFailure): NextStep {
@@ -150,20 +151,19 @@
   return best
 }
 
-// Starts at a drawn place, so that equal replicas share the load.
+// Starts at a random index, so that replicas with equal latency share the load.
 function sample (context: RouterContext, beliefs: ReplicaBelief[]): ReplicaBelief[] {
   const start = Math.floor(draw(context.state) * beliefs.length)
   return [...beliefs.slice(start), ...beliefs.slice(0, start)].slice(0, CANDIDATES)
 }
 
-// Grows with the queue and with the share of answers that fail, since a failed
-// one costs another try.
+// Grows with the queue length and with the failure rate, since each failure costs another attempt.
 function expectedLatencyMs ({ failureShare, inFlight, latencyMs, replica }: ReplicaBelief): number {
   const meanMs = latencyMs === 0 ? FIRST_LATENCY_MS : latencyMs
   return meanMs * (1 + inFlight / Math.max(1, replica.slots)) / (1 - Math.min(0.9, failureShare)) ** 2
 }
 
-// A permit lapses soon: used, it leaves the other replicas to the requests that have none.
+// Permits expire soon. Spending one leaves the replicas without a limit to requests that have no permit.
 function permitWorthMs ({ state }: RouterContext, belief: ReplicaBelief): number {
   return limitOf(state, belief.replica) === undefined ? 0 : PERMIT_WORTH_SHARE * expectedLatencyMs(belief) + PERMIT_WORTH_MS
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterPools.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterPools.ts
@@ -1,6 +1,6 @@
 /**
- * Measures the work of the pools and orders stage changes while this process
- * holds the lease on them.
+ * Measures the load of the prefill and decode pools and orders replicas to change their stage. Only
+ * the entry that holds the lease on the pools does so.
  *
  * @module
  */
@@ -15,55 +15,55 @@
 import type { RouterEventOf } from './BendfallRouterEvents.js'
 import type { ObservedWork, PoolOrder, ReplicaBelief } from './BendfallRouterState.js'
 
-/** Weight of the newest reading of the work: with two readings a second the last twelve seconds count, more than a burst lasts. */
+/** Weight of the newest sample in the moving average: at two samples a second it covers the last twelve seconds, longer than a burst lasts. */
 const WORK_WEIGHT = 0.04
 
 /**
- * Work is observed for this long before it asks for a change, by a holder that took over as
- * well as after a change: a shorter look may see nothing but a burst, whose change the next
- * look undoes.
+ * Minimum time that the load is observed before a change, both after a takeover of the lease and
+ * after the previous change. A shorter observation may cover only a burst, and the next one would
+ * then revert the change.
  */
 const LEAST_OBSERVED_MS = 8_000
 
-/** Replicas whose loads are asked at once: 24 calls a second, whatever the fleet. */
+/** Replicas whose load is requested in one round: 24 calls a second, whatever the size of the fleet. */
 const ASKED_AT_ONCE = 12
 
-/** A change is not taken back within this: it took a replica away for seconds, as would the next. */
+/** Minimum time before a change may be reverted, since each change makes a replica unavailable for seconds. */
 const LEAST_KEPT_MS = 20_000
 
-/** Loads are asked again after this; the work is an average of twelve seconds. */
+/** Interval at which the load of a replica is requested; the average covers twelve seconds. */
 const ASK_AGAIN_MS = 450
 
-/** Loads that are older tell nothing of the work: 84 replicas are asked in 3.5 s. */
+/** Maximum age of a load that counts as a sample; one round over 84 replicas takes 3.5 s. */
 const MEASURED_MS = 5_000
 
-/** Share of the replicas whose loads must be known before pools change; a dozen suffice. */
+/** Share of the replicas whose load must be known before pools change; a dozen replicas are always enough. */
 const LEAST_MEASURED_SHARE = 0.5
 
-/** Beyond the time that a change takes, until its effect on the work is seen. */
+/** Time after a completed change until its effect on the load is visible. */
 const SETTLE_MS = 4_000
 
-/** Time that a change takes when the configuration does not tell. */
+/** Duration of a change when the configuration does not specify it. */
 const FIRST_SWITCH_MS = 6_000
 
-/** After an order that changes nothing another one is given. */
+/** Time after a refused order until another one may be sent. */
 const REFUSED_ORDER_MS = 1_000
 
-/** An order whose answer was lost may be carried out this much later. */
+/** Time within which an order whose response was lost may still be carried out. */
 const LATE_ORDER_MS = 12_000
 
 /**
- * Reads the work, and orders what the balance asks for.
+ * Samples the load of each service and orders the stage changes that balance its pools.
  *
- * @param context - of the event
- * @param event - a tick
+ * @param context - state, time and effects of the current event
+ * @param event - periodic tick; has a fencing token while this entry holds the lease on the pools
  */
 export function balance (context: RouterContext, event: RouterEventOf<'balance_due'>): void {
   const { state } = context
   for (const service of state.config?.services ?? []) {
     if (service.engine === undefined) continue
     if (event.fence === undefined || state.poolIntent === undefined || state.decisions.pools === 'as_found') {
-      // The next time that this process holds the lease it measures anew.
+      // The measurement restarts the next time that this process holds the lease.
       state.poolWork.delete(service.name)
       continue
     }
@@ -87,14 +87,14 @@
   state.poolWork.delete(service)
 }
 
-// The ledgers of those that leave may be gone before them.
+// Ignores replicas that are leaving, since their ledgers may terminate before them.
 function areEnoughMeasured ({ state }: RouterContext, beliefs: readonly ReplicaBelief[], measured: readonly ReplicaBelief[]): boolean {
   const staying = beliefs.filter((belief) => !isLeaving(state, belief)).length
   const known = measured.filter((belief) => !isLeaving(state, belief)).length
   return staying > 0 && (known >= staying * LEAST_MEASURED_SHARE || known >= ASKED_AT_ONCE)
 }
 
-// An empty pool does not wait for the work, nor for the effect of a change of the other one.
+// An empty pool is refilled without waiting for load samples or for a change of the other pool to settle.
 function chooseChanges (context: RouterContext, service: string, beliefs: readonly ReplicaBelief[], observed: ObservedWork, intent: PoolIntent): StageChange[] {
   const members = beliefs.map((belief) => toMember(context, belief))
   const former = context.state.poolOrders.get(service)
@@ -111,8 +111,8 @@
   return isKept ? changes.filter(({ stage }) => stage === former.stage) : changes
 }
 
-// Those that were asked longest ago. A part of a large fleet tells as much of its pools
-// as all of it, and asking all of 1,200 would take an instance of its own.
+// Requests the loads that are oldest. A sample of a large fleet describes its pools as well as the
+// whole fleet does, and polling all of 1,200 replicas would need an instance of its own.
 function askSome ({ effects, nowMs }: RouterContext, beliefs: readonly ReplicaBelief[]): void {
   const due = beliefs.filter(({ ledgerDownUntilMs, loadAtMs }) => ledgerDownUntilMs <= nowMs && nowMs - loadAtMs >= ASK_AGAIN_MS)
   const oldest = due.sort((a, b) => a.loadAtMs - b.loadAtMs).slice(0, ASKED_AT_ONCE)
@@ -120,10 +120,10 @@
 }
 
 /**
- * Notes the answer to an order.
+ * Handles the response to a stage order: adjusts the time until which the pools are left unchanged.
  *
- * @param context - of the event
- * @param event - the answer
+ * @param context - state, time and effects of the current event
+ * @param event - outcome of the order at its replica
  */
 export function takeOrderAnswer (context: RouterContext, event: RouterEventOf<'order_answered'>): void {
   const belief = context.state.replicas.get(event.replicaId)
@@ -134,8 +134,8 @@
   if (event.outcome === 'refused') former.settledAtMs = Math.min(former.settledAtMs, context.nowMs + REFUSED_ORDER_MS)
 }
 
-// A replica that leaves or is gone will not carry its order out: waiting for it left a
-// pool empty for 13 s on a day on which the only prefill replica was replaced.
+// A replica that is draining or gone will not carry out its order. Waiting for it left a pool empty
+// for 13 s on a day when the only prefill replica was replaced.
 function hasLostOrders ({ state }: RouterContext, { replicaIds }: PoolOrder): boolean {
   return replicaIds.every((replicaId) => state.replicas.get(replicaId)?.replica.isDraining !== false)
 }
@@ -154,14 +154,14 @@
     replicaId: replica.replicaId,
     availabilityZone: replica.availabilityZone,
     stage: stageOf(belief),
-    // One that was not asked yet counts as well.
+    // A replica whose load is not known yet counts as serving.
     isServing: load?.isHealthy !== false && isOpen(context, belief) && suspectUntilMs <= nowMs,
     isLeaving: isLeaving(state, belief)
   }
 }
 
-// The mean of those that were measured stands for all of their pool. Until twelve seconds are
-// observed all readings count alike, so that the first one does not decide.
+// Extrapolates the mean of the measured replicas to the whole pool. During the first twelve seconds
+// all samples have equal weight, so that the first one does not dominate.
 function observe ({ nowMs, state }: RouterContext, service: string, beliefs: readonly ReplicaBelief[], measured: readonly ReplicaBelief[]): ObservedWork {
   const now = { prefill: meanWork(measured, 'prefill') * countOf(beliefs, 'prefill'), decode: meanWork(measured, 'decode') * countOf(beliefs, 'decode') }
   const former = state.poolWork.get(service) ?? { work: now, sinceMs: nowMs, readings: 0 }
--- a/packages/bendfall-router/src/entry/BendfallRouterPrefill.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterPrefill.ts
@@ -1,6 +1,6 @@
 /**
- * Has the prompt of a request read at a prefill replica, once its decode
- * memory is booked.
+ * Prefills the prompt of a request on a prefill replica once its decode memory is booked. If that
+ * fails, another prefill replica or the decode replica itself processes the prompt.
  *
  * @module
  */
@@ -18,27 +18,27 @@
 import type { RequestState } from './BendfallRouterRequest.js'
 import type { ReplicaBelief } from './BendfallRouterState.js'
 
-/** Weight of the newest prefill in the learned speed. */
+/** Weight of the newest prefill in the moving average of the prefill speed. */
 const SPEED_WEIGHT = 0.05
 
-/** Weight of the newest prefill in a replica's pace; replicas of one service differ by a third. */
+/** Weight of the newest prefill in a replica's time factor; replicas of one service differ by a third. */
 const PACE_WEIGHT = 0.1
 
-/** One prefill counts as this many times off its expected length at most. */
+/** Maximum ratio between actual and expected duration, in either direction, that one prefill contributes. */
 const MOST_OFF = 3
 
-/** A prefill is given up after this many times its expected length: 99 of 100 of busy replicas took less. */
+/** Timeout of a prefill, as a multiple of its expected duration; 99 of 100 prefills on busy replicas took less. */
 const TIMEOUT_FACTOR = 2.5
 
-/** Added to it, for queues that were not foreseen. */
+/** Added to that timeout for queueing that was not predicted. */
 const TIMEOUT_EXTRA_MS = 150
 
 /**
- * Sends the prompt to the prefill replica that is likely to be done first.
- * Without one, the decode replica reads the prompt itself.
+ * Sends the prompt to the prefill replica that is expected to finish first. Without a prefill
+ * replica, the decode replica processes the prompt itself.
  *
- * @param context - of the event
- * @param request - the request, with booked memory
+ * @param context - state, time and effects of the current event
+ * @param request - request whose decode memory is booked
  * @returns the next step
  */
 export function startPrefill (context: RouterContext, request: RequestState): NextStep {
@@ -79,11 +79,11 @@
 }
 
 /**
- * Takes the answer of a prefill.
+ * Handles the outcome of a prefill call.
  *
- * @param context - of the event
- * @param request - the request
- * @param outcome - the answer
+ * @param context - state, time and effects of the current event
+ * @param request - request that the prefill belongs to
+ * @param outcome - handle of the prefill result, or how the call failed
  * @param handleTtlMs - time for which the replica keeps the result
  * @returns the next step
  */
@@ -105,12 +105,12 @@
 }
 
 /**
- * Takes the failure of a prefill: another replica reads the prompt, or the
- * decode replica itself.
+ * Handles a failed prefill: retries on another prefill replica, or lets the decode replica process
+ * the prompt if no retry is allowed.
  *
- * @param context - of the event
- * @param request - the request
- * @param failure - how it failed
+ * @param context - state, time and effects of the current event
+ * @param request - request that the prefill belongs to
+ * @param failure - how the call failed, which decides whether it may have run
  * @returns the next step
  */
 export function takePrefillFailure (context: RouterContext, request: RequestState, failure: SendFailure): NextStep {
@@ -121,10 +121,10 @@
   request.excluded.add(replicaId)
   leavePrefill(context, request)
   noteSendFailed(context, request, failure)
-  // It never arrived, or its replica reads the prompt: neither counts.
+  // A call that was not sent is refunded above; the first one that a replica may process is free as well.
   if (!hasNotRun(failure)) noteRead(context, request)
   context.effects.push({ type: 'abort_send', key: request.key })
-  // A prefill has no effect that a second one could double.
+  // A prefill is idempotent, so it may be retried even if it has run.
   const isRetried = takeRetry(context, request, hasNotRun(failure) ? failure : 'not_run')
   logDecision(context, request, 'prefill_failed', { replica: replicaId, failure, isRetried })
   if (isRetried) return { type: 'prefill' }
@@ -132,12 +132,13 @@
   return coverSends(context, request, 1) ? { type: 'run' } : refuseUnpaid(request)
 }
 
-// Events come with each tick: after a longer pause the answer may have lain there for all of it.
+// Ticks are events too, so a longer gap means that this process was paused and that the response may
+// have been waiting for the whole gap.
 function madeAtMs ({ nowMs, sinceLastEventMs }: RouterContext): number {
   return sinceLastEventMs > TICK_MS ? nowMs - sinceLastEventMs : nowMs
 }
 
-// The slot becomes the booking of the prompt if its replica reads it.
+// A slot at the chosen replica becomes the booking of the prompt; any other slot is released.
 function takePrefillSlot (context: RouterContext, request: RequestState, replicaId: string): string | undefined {
   const { prefillSlot } = request
   if (prefillSlot?.replicaId !== replicaId) {
@@ -154,7 +155,7 @@
   belief.prefillPace += PACE_WEIGHT * (pace - belief.prefillPace)
 }
 
-// Only a prefill without others beside it tells the speed.
+// Only a prefill that had the replica to itself yields a valid speed sample.
 function learnSpeed ({ state }: RouterContext, request: RequestState, tookMs: number): void {
   const promptTokens = request.prompt?.promptTokens ?? 0
   if (promptTokens === 0 || request.isPrefillAlone !== true) return
--- a/packages/bendfall-router/src/entry/BendfallRouterPrefillPlan.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterPrefillPlan.ts
@@ -1,5 +1,6 @@
 /**
- * Foresees when a prompt will be read, and where.
+ * Chooses the prefill replica for a prompt and predicts when its prefill will be complete, from
+ * the backlog of each replica and the learned prefill speed.
  *
  * @module
  */
@@ -9,25 +10,25 @@
 import type { RequestState } from './BendfallRouterRequest.js'
 import type { ReplicaBelief } from './BendfallRouterState.js'
 
-/** Where a prompt would be read and how long that takes from now. */
+/** Replica chosen for a prefill and the predicted time until the prefill is complete. */
 export interface PrefillPlan {
   readonly belief: ReplicaBelief
   readonly leadMs: number
 }
 
-/** Added to the lead of a replica in another availability zone than the decode replica, where a transfer takes twice as long and is dearer. */
+/** Cost added for a replica in another availability zone than the decode replica: the transfer takes twice as long and is more expensive. */
 const OTHER_ZONE_MS = 30
 
-/** Time of a prefill besides reading tokens; the line through 323 prompts read alone meets zero tokens at 63 to 86 ms. */
+/** Fixed time of a prefill; a linear fit over 323 prompts processed one at a time has an intercept of 63 to 86 ms. */
 export const PREFILL_CALL_MS = 75
 
 /**
- * Plans the prefill of a request.
+ * Chooses the replica with the lowest predicted cost for the prefill of a request.
  *
- * @param context - of the event
- * @param request - the request, with a prompt
- * @param availabilityZone - zone of the decode replica, when it is chosen
- * @returns the plan, or undefined when no replica reads prompts
+ * @param context - state, time and effects of the current event
+ * @param request - request with a prompt
+ * @param availabilityZone - zone of the decode replica, if that is chosen already
+ * @returns the plan; undefined if no prefill replica is usable or the decode replica is to process the prompt
  */
 export function planPrefill (context: RouterContext, request: RequestState, availabilityZone?: string): PrefillPlan | undefined {
   if (request.reading !== 'apart') return undefined
@@ -47,11 +48,11 @@
 }
 
 /**
- * Time to read a prompt at a replica that has nothing else to do.
+ * Predicts the duration of a prefill on an idle replica.
  *
- * @param context - of the event
- * @param request - the request, with a prompt
- * @param belief - about the replica
+ * @param context - state, time and effects of the current event
+ * @param request - request with a prompt
+ * @param view - replica that would process the prompt
  * @returns milliseconds
  */
 export function ownLeadMs ({ state }: RouterContext, request: RequestState, belief: ReplicaBelief): number {
@@ -63,10 +64,10 @@
 }
 
 /**
- * Tokens of prompts that are known to be at a prefill replica.
+ * Returns the number of prompt tokens known to be queued or in progress at a replica.
  *
- * @param belief - about the replica
- * @returns tokens of this process and of others
+ * @param view - replica to inspect
+ * @returns tokens sent by this process and by other entries
  */
 export function backlogOf ({ load, prefillSinceLoad, prefillTokens }: ReplicaBelief): number {
   return Math.max(prefillTokens, (load?.backlogTokens ?? 0) + prefillSinceLoad)
--- a/packages/bendfall-router/src/entry/BendfallRouterPrefillQueue.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterPrefillQueue.ts
@@ -1,7 +1,6 @@
 /**
- * Has requests wait for a prefill replica before they book decode memory, so
- * that no memory is held for a prompt that lies in a queue, and those that can
- * be on time go first.
+ * Makes requests wait for a prefill slot before they book decode memory, so that no memory is held
+ * for a queued prompt. Requests that can still meet their target are served first.
  *
  * @module
  */
@@ -20,18 +19,17 @@
 import { dueMs, longestWaitMs, refuseMemory } from './BendfallRouterReserve.js'
 import type { RequestState } from './BendfallRouterRequest.js'
 
-/** Told to callers while most runs are refused: refusals of late count half by then. */
+/** `Retry-After` while most runs are refused; recent refusals have decayed to half their weight by then. */
 const REFUSING_RETRY_MS = 2_000
 
-/** With less than a prompt at a replica its queue need not be asked. */
+/** Backlog below which a prompt is sent without a queue slot: less than one prompt. */
 const FREE_BACKLOG_TOKENS = 3_000
 
 /**
- * Asks for a place in the queue of the prefill replica that is likely to be
- * done first.
+ * Requests a slot in the queue of the prefill replica that is expected to finish first.
  *
- * @param context - of the event
- * @param request - the request, with a prompt
+ * @param context - state, time and effects of the current event
+ * @param request - request with a prompt
  * @returns the next step
  */
 export function startQueue (context: RouterContext, request: RequestState): NextStep {
@@ -74,7 +72,8 @@
   return undefined
 }
 
-// A replica that is to read the prompt itself refuses it before it has read any of it.
+// A decode replica that processes the prompt itself refuses a run before any work on the prompt, so a
+// refusal wastes no prefill.
 function avoidReading (context: RouterContext, request: RequestState): NextStep {
   logDecision(context, request, 'reading_avoided', { refusedShare: refusedShare(context, request.service) })
   const canRead = !request.isReadingRefused && knownReplicas(context, request, 'decode').some((belief) => canReadNow(belief, request))
@@ -84,11 +83,11 @@
 }
 
 /**
- * Takes the answer of the queue.
+ * Handles the response to a request for a prefill slot.
  *
- * @param context - of the event
- * @param request - the request
- * @param outcome - the answer
+ * @param context - state, time and effects of the current event
+ * @param request - request that waits for the slot
+ * @param outcome - response of the queue
  * @returns the next step
  */
 export function takeQueueAnswer (context: RouterContext, request: RequestState, outcome: ReserveOutcome): NextStep {
--- a/packages/bendfall-router/src/entry/BendfallRouterReading.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterReading.ts
@@ -1,9 +1,9 @@
 /**
- * Chooses where a prompt is read. A decode replica can read one itself, at half
- * the speed and between the steps of its other requests, without a move of its
- * memory. That costs its other requests some pace, so it is done when a prompt would
- * wait longer for a prefill replica than it takes a decode replica to read it. With one
- * prefill replica of six, on a day of bursts, this raised the worth from 0.409 to 0.759.
+ * Chooses whether a prompt is prefilled on a prefill replica or in place on a decode replica. In
+ * place it runs at half the speed, interleaved with the steps of other requests, but needs no KV
+ * transfer. It slows those requests down, so it is used only when the wait for a prefill replica
+ * would take longer. With one prefill replica out of six, on a day with bursts, this raised the
+ * total worth from 0.409 to 0.759.
  *
  * @module
  */
@@ -13,18 +13,18 @@
 import type { Reading, RequestState } from './BendfallRouterRequest.js'
 import type { ReplicaBelief, RouterState } from './BendfallRouterState.js'
 
-/** From the send to a decode replica to the first event at the caller, measured on calm days: transfer, first steps, network. */
+/** Time from the send to a decode replica until the first event reaches the caller (transfer, first steps, network), measured on days without bursts. */
 export const FIRST_EVENT_MS = 40
 
-/** Weight of the newest prompt in the learned speed. */
+/** Weight of the newest prompt in the moving average of the in-place prefill speed. */
 const SPEED_WEIGHT = 0.1
 
 /**
- * Chooses where the prompt of a request is read.
+ * Chooses where the prompt of a request is prefilled.
  *
- * @param context - of the event
- * @param request - the request, with a prompt and without booked memory
- * @returns the place
+ * @param context - state, time and effects of the current event
+ * @param request - request with a prompt and without booked memory
+ * @returns the placement with the earlier expected completion, as far as the settings allow a choice
  */
 export function chooseReading (context: RouterContext, request: RequestState): Reading {
   const { decisions } = context.state
@@ -37,10 +37,10 @@
 }
 
 /**
- * Time in which a decode replica reads the prompt of a request.
+ * Predicts the duration of an in-place prefill on a decode replica.
  *
- * @param state - of the entry
- * @param request - the request
+ * @param state - state of the entry, which has the learned speed
+ * @param request - request with the prompt; without a prompt the duration is 0
  * @returns milliseconds
  */
 export function readInPlaceMs ({ inPlaceMsPerToken }: RouterState, { prompt }: RequestState): number {
@@ -48,11 +48,11 @@
 }
 
 /**
- * Tells whether a decode replica has room for a prompt and reads no other one.
+ * Checks whether a decode replica has memory for a prompt and no other prompt to process.
  *
- * @param belief - about the replica
- * @param request - the request
- * @returns true when it can begin at once
+ * @param view - decode replica to check
+ * @param request - request with the prompt
+ * @returns true if the replica can start the prefill at once
  */
 export function canReadNow (belief: ReplicaBelief, { prompt }: RequestState): boolean {
   const roomTokens = (belief.load?.roomTokens[0] ?? 0) - belief.bookedSinceLoad
@@ -60,11 +60,11 @@
 }
 
 /**
- * Learns how fast decode replicas read from the first event of an answer.
+ * Updates the learned speed of in-place prefills from the first event of a response.
  *
- * @param state - of the entry
- * @param request - the request whose answer has begun
- * @param tookMs - from its send to that event
+ * @param state - state of the entry, changed in place
+ * @param request - request whose response has started
+ * @param tookMs - time from its send to the first event
  */
 export function learnReadSpeed (state: RouterState, request: RequestState, tookMs: number): void {
   const promptTokens = request.prompt?.promptTokens ?? 0
--- a/packages/bendfall-router/src/entry/BendfallRouterRecentSends.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterRecentSends.ts
@@ -1,33 +1,33 @@
 /**
- * Counts the sends of an entry to a replica in the last second: what a limit that the
- * replica names then counts as well.
+ * Counts the sends of an entry to a replica in the last second with a sliding window. A rate limit
+ * that the replica advertises applies to these sends as well.
  *
  * @module
  */
 import { SENT_BEFORE_MS } from '../limits/BendfallRouterPermitKeeper.js'
 
-/** Spans that are counted apart. */
+/** Buckets of the sliding window. */
 const SPANS = 4
 const SPAN_MS = SENT_BEFORE_MS / SPANS
 
-/** Sends to one replica. */
+/** Sliding window over the sends to one replica. */
 export interface RecentSends {
-  /** Number of the newest span. */
+  /** Sequence number of the newest bucket. */
   newest: number
-  /** By number of the span, modulo those that are kept: the last second and the span in which it began. */
+  /** Ring buffer of counts, indexed by sequence number modulo its length: one bucket more than a second, since the window starts inside a bucket. */
   readonly counts: number[]
 }
 
-/** @returns counts of a replica that was sent nothing */
+/** @returns a window without sends */
 export function createRecentSends (): RecentSends {
   return { newest: -Infinity, counts: Array.from({ length: SPANS + 1 }, () => 0) }
 }
 
 /**
- * Counts a send.
+ * Records a send.
  *
- * @param recent - changed in place
- * @param nowMs - the time
+ * @param recent - window of the replica, changed in place
+ * @param nowMs - monotonic time of the send
  */
 export function noteRecentSend (recent: RecentSends, nowMs: number): void {
   turn(recent, nowMs)
@@ -38,9 +38,9 @@
 /**
  * Counts the sends of the last second.
  *
- * @param recent - of the replica; absent: none
- * @param nowMs - the time
- * @returns sends; of the span in which the second began a part
+ * @param recent - window of the replica; undefined counts as no sends
+ * @param nowMs - monotonic time at which the second ends
+ * @returns number of sends; the bucket in which the second starts counts in proportion
  */
 export function countSent (recent: RecentSends | undefined, nowMs: number): number {
   if (recent === undefined) return 0
--- a/packages/bendfall-router/src/entry/BendfallRouterReducer.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterReducer.ts
@@ -1,5 +1,6 @@
 /**
- * The reducer of the entry: one update path over all events.
+ * Reducer of the entry: applies each event to the state and returns the effects to carry out. It is
+ * the single update path for all events.
  *
  * @module
  */
@@ -33,13 +34,13 @@
 import { noteOverdue, noteUnanswered } from './BendfallRouterStalls.js'
 import { chooseSubset } from './BendfallRouterSubset.js'
 
-/** Keeps a result of a prefill when the configuration does not tell how long. */
+/** Lifetime of a prefill result when the configuration does not specify it. */
 const FIRST_HANDLE_TTL_MS = 500
 
-/** Statuses from here on are failures of the replica. */
+/** Lowest HTTP status that counts as a failure of the replica. */
 const FIRST_FAILED_STATUS = 500
 
-/** Told to callers whose time passed before their request was sent. */
+/** `Retry-After` for requests whose deadline passed before they were sent. */
 const DEADLINE_RETRY_MS = 1_000
 
 type StepType = Exclude<NonNullable<NextStep>['type'], 'refuse' | 'cut'>
@@ -153,10 +154,10 @@
 }
 
 /**
- * Reduces one event.
+ * Applies one event to the state.
  *
- * @param state - changed in place; nothing else may change it
- * @param event - what happened
+ * @param state - state of the entry, changed in place; no other code may change it
+ * @param event - event with its monotonic time
  * @returns effects in the order in which they are carried out
  */
 export function reduceRouter (state: RouterState, event: RouterEvent): RouterEffect[] {
@@ -178,8 +179,8 @@
   advance(context, request, take(request))
 }
 
-// An answer to another call of the same attempt, such as an announcement that nobody waits
-// for, would have the request sent once more.
+// Ignores responses to other calls of the same attempt, such as an announcement that no step waits
+// for; handling one would send the request again.
 function inPhase (context: RouterContext, event: { readonly key: string, readonly attempt: number }, phase: Phase, take: (request: RequestState) => NextStep): void {
   withAttempt(context, event, (request) => request.phase === phase ? take(request) : undefined)
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterRefusals.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterRefusals.ts
@@ -1,6 +1,6 @@
 /**
- * What refusals tell of a service: when most runs are refused there, a prompt that is read
- * before its run is likely to be read in vain.
+ * Tracks the share of runs that a service refuses. While most are refused, a prompt that is
+ * prefilled before its run is likely to be wasted work.
  *
  * @module
  */
@@ -8,32 +8,32 @@
 import { coverSends } from './BendfallRouterSend.js'
 import type { RequestState } from './BendfallRouterRequest.js'
 
-/** Time after which an outcome counts half: replicas that refused take work again within seconds. */
+/** Half-life of an outcome; replicas that refused accept work again within seconds. */
 const HALF_LIFE_MS = 2_000
 
-/** Outcomes below which nothing is said. */
+/** Decayed number of outcomes below which the refused share is reported as 0. */
 const LEAST_OUTCOMES = 3
 
-/** Prompts that may be read in vain: more cost more than the requests that are served are worth. */
+/** Accepted share of wasted prefills; more would cost more than the served requests are worth. */
 const LOST_SHARE = 0.2
 
-/** Further runs of one request that are worth a promise. */
+/** Maximum number of retries of one request for which retry budget is reserved. */
 const MOST_RETRIES = 4
 
-/** Outcomes of runs at a service, of late. */
+/** Exponentially decayed counts of run outcomes at a service. */
 export interface RunOutcomes {
   refused: number
   taken: number
-  /** Time up to which they have faded. */
+  /** Time up to which the decay is applied. */
   atMs: number
 }
 
 /**
- * Notes whether a replica took a run or refused it.
+ * Records whether a replica accepted a run or refused it.
  *
- * @param context - of the event
- * @param service - of the replica
- * @param outcome - what it did
+ * @param context - state, time and effects of the current event
+ * @param service - name of the service that the replica belongs to
+ * @param outcome - decision of the replica; `taken` if it accepted the run
  */
 export function noteRun ({ nowMs, state }: RouterContext, service: string, outcome: 'refused' | 'taken'): void {
   const outcomes = fadedOutcomes(state.runOutcomes.get(service), nowMs)
@@ -48,11 +48,11 @@
 }
 
 /**
- * Tells which share of runs a service refuses.
+ * Returns the share of recent runs that a service refused.
  *
- * @param context - of the event
+ * @param context - state, time and effects of the current event
  * @param service - name of the service
- * @returns 0 to 1; 0 while too little is known
+ * @returns share from 0 to 1; 0 while there are too few outcomes
  */
 export function refusedShare ({ nowMs, state }: RouterContext, service: string): number {
   const { refused, taken } = fadedOutcomes(state.runOutcomes.get(service), nowMs)
@@ -60,12 +60,12 @@
 }
 
 /**
- * Tells whether a prompt that is read now is likely to be used: the further runs that it
- * will need are promised, or none is needed.
+ * Reserves retry budget for the runs that a request is expected to need at the current refused
+ * share, so that its prefill is unlikely to be wasted.
  *
- * @param context - of the event
- * @param request - the request, with a prompt that nobody has read
- * @returns false when its run would most likely be refused
+ * @param context - state, time and effects of the current event
+ * @param request - request whose prompt is not processed yet
+ * @returns true if the budget is reserved or none is needed; false if the prefill would most likely be wasted
  */
 export function coverRuns (context: RouterContext, request: RequestState): boolean {
   const share = refusedShare(context, request.service)
@@ -74,7 +74,7 @@
   return retries <= MOST_RETRIES && coverSends(context, request, 1 + retries)
 }
 
-// Further runs after which no more than the share of prompts that may be lost is left.
+// Number of retries after which the probability that all runs are refused is at most the accepted share.
 function retriesFor (refused: number): number {
   return refused >= 1 ? Infinity : Math.ceil(Math.log(LOST_SHARE) / Math.log(refused)) - 1
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterRegistrations.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterRegistrations.ts
@@ -1,6 +1,6 @@
 /**
- * Follows the registrations of replicas. A crashed replica's registration
- * outlives it by some heartbeats, in which a new one may come at its address.
+ * Applies changes of replica registrations to the state. The registration of a crashed replica
+ * expires only after some heartbeats, and a new replica may register at its address before that.
  *
  * @module
  */
@@ -14,12 +14,12 @@
 import type { RouterState } from './BendfallRouterState.js'
 
 /**
- * Takes a registration. Of those at one address only the latest counts; of 43
- * failed sends of a day with crashes 40 went to the registration of a former
- * replica. Of those under one id the latest incarnation counts, and the latest write of it.
+ * Applies a registration. At one address only the latest registration is used: on a day with
+ * crashes, 40 of 43 failed sends went to the registration of a previous replica. Under one id only
+ * the latest incarnation is used, and the latest write of it.
  *
- * @param context - of the event
- * @param replica - as registered
+ * @param context - state, time and effects of the current event
+ * @param replica - registered replica
  */
 export function learnReplica (context: RouterContext, replica: Replica): void {
   const { state } = context
@@ -30,7 +30,7 @@
   state.foreign.delete(replicaId)
   if (known !== undefined && isSameIncarnation(replica, known.replica)) {
     const { isDraining, stage } = known.replica
-    // Its load may be older than the change of its pool.
+    // The known load may date from before the change of stage.
     if (stage !== replica.stage) known.load = undefined
     renewReplica(state, known, replica)
     if (isDraining !== replica.isDraining || stage !== replica.stage) logLearned(context, replica)
@@ -43,9 +43,9 @@
 }
 
 /**
- * Takes the registrations again whose service the configuration did not have.
+ * Applies the registrations again whose service was missing from the previous configuration.
  *
- * @param context - of the event
+ * @param context - state, time and effects of the current event
  */
 export function learnForeign (context: RouterContext): void {
   for (const replica of [...context.state.foreign.values()]) learnReplica(context, replica)
@@ -55,9 +55,9 @@
   effects.push({ type: 'log', decision: 'replica_learned', requestId: '', inputs: { replica: replicaId, service, stage, isDraining, revision, startedAtMs } })
 }
 
-// Watches and full reads overlap, and a process that has ended may still be told of. An
-// older copy of the registrations tells former words at higher revisions: by its own count
-// the replica said more since, and one that leaves never says that it stays.
+// Watches and full reads overlap, so a write of a process that has ended may still arrive. A restored
+// older copy of the registrations may contain previous writes at higher revisions. These are detected
+// by a lower heartbeat count or by a cleared draining flag, since a draining replica never clears it.
 function isOutdated (replica: Replica, known: Replica): boolean {
   if (replica.startedAtMs !== undefined && known.startedAtMs !== undefined) {
     if (replica.startedAtMs !== known.startedAtMs) return replica.startedAtMs < known.startedAtMs
@@ -66,17 +66,17 @@
   return replica.revision < known.revision
 }
 
-// Where the platform does not tell the start of a process, a registration that was made
-// anew and counts its heartbeats from the start again tells it, as does a new address. One
-// that only lapsed in an outage goes on counting.
+// Where the platform does not report the start time of a process, a restart is detected by a new
+// address or by a new registration whose heartbeat count starts over. A registration that only
+// expired during an outage continues its count.
 function isSameIncarnation (replica: Replica, known: Replica): boolean {
   if (replica.address !== known.address) return false
   if (replica.startedAtMs !== undefined && known.startedAtMs !== undefined) return replica.startedAtMs === known.startedAtMs
   return replica.registeredAtRevision === known.registeredAtRevision || replica.heartbeats >= known.heartbeats
 }
 
-// A service that the configuration does not have, or a model without a pool: another
-// writer's entry. It must not take the address of a replica.
+// A service that is not in the configuration, or a stage that does not match the kind of service,
+// means that another system wrote the registration. It must not claim the address of a replica.
 function isForeign ({ config }: RouterState, { service, stage }: Replica): boolean {
   if (config === undefined) return false
   const found = config.services.find(({ name }) => name === service)
@@ -93,11 +93,11 @@
 }
 
 /**
- * Forgets a replica whose registration is gone. One that it had replaced
- * counts again if it still registers.
+ * Removes a replica whose registration is gone. A replica that it had replaced at its address is
+ * used again if that one still registers.
  *
- * @param context - of the event
- * @param replicaId - of the replica
+ * @param context - state, time and effects of the current event
+ * @param replicaId - id of the removed registration
  */
 export function forgetReplica (context: RouterContext, replicaId: string): void {
   const { effects, state } = context
@@ -116,10 +116,11 @@
 }
 
 /**
- * Notes registrations that are missing after an outage, until they are told again or gone.
+ * Marks replicas whose registrations are missing after an outage, until they register again or are
+ * removed.
  *
- * @param context - of the event
- * @param replicaIds - of the replicas
+ * @param context - state, time and effects of the current event
+ * @param replicaIds - ids of the missing registrations; unknown ids are ignored
  */
 export function noteMissing ({ effects, state }: RouterContext, replicaIds: readonly string[]): void {
   for (const replicaId of replicaIds) {
@@ -130,7 +131,7 @@
   }
 }
 
-// False: a later registration has the address.
+// Returns false if a later registration already uses the address.
 function takeAddress (context: RouterContext, replica: Replica): boolean {
   const { state } = context
   const holder = replicaAt(state, replica.address)?.replica
--- a/packages/bendfall-router/src/entry/BendfallRouterReplicaLimit.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterReplicaLimit.ts
@@ -1,6 +1,6 @@
 /**
- * Learns the limits that replicas name, from their answers, from the keeper and from other
- * entries, and asks the keeper for permits.
+ * Learns the rate limits that replicas advertise, from their responses, from the elected limit leader
+ * and from other entries, and requests permits from that leader.
  *
  * @module
  */
@@ -17,29 +17,29 @@
 import type { RequestState } from './BendfallRouterRequest.js'
 import type { RouterState } from './BendfallRouterState.js'
 
-/** A replica that names a limit. */
+/** A replica that advertises a rate limit. */
 export interface LimitedReplica {
   readonly replicaId: string
   readonly limit: ReplicaLimit
 }
 
 /**
- * Finds the limit that the process of a replica names.
+ * Returns the rate limit that the process of a replica advertises.
  *
- * @param state - of the entry
- * @param replica - the replica
- * @returns the limit; undefined when it names none
+ * @param state - state of the entry
+ * @param replica - replica whose current process is looked up
+ * @returns the limit; undefined if the process advertises none
  */
 export function limitOf ({ limits }: RouterState, replica: Replica): ReplicaLimit | undefined {
   return limits.size === 0 ? undefined : limits.get(nameProcess(replica))
 }
 
 /**
- * Tells whether a replica names a limit.
+ * Checks whether a replica advertises a rate limit.
  *
- * @param state - of the entry
- * @param replicaId - of the replica
- * @returns true while it does
+ * @param state - state of the entry
+ * @param replicaId - id of the replica, which may be unknown
+ * @returns true if the replica is known and advertises a limit
  */
 export function hasLimit (state: RouterState, replicaId: string): boolean {
   const replica = state.replicas.get(replicaId)?.replica
@@ -47,12 +47,12 @@
 }
 
 /**
- * Takes what an answer says of a limit.
+ * Applies the rate limit notice in the headers of a response.
  *
- * @param context - of the event
- * @param replica - that answered
- * @param notice - from the head of its answer
- * @param sentAtMs - when its request was sent
+ * @param context - state, time and effects of the current event
+ * @param replica - replica that sent the response
+ * @param notice - notice decoded from the response headers
+ * @param sentAtMs - time at which the request was sent
  */
 export function takeLimit (context: RouterContext, replica: Replica, notice: LimitNotice, sentAtMs: number): void {
   const { effects, nowMs, state } = context
@@ -70,10 +70,10 @@
 }
 
 /**
- * Takes limits that other entries have heard of, or the ledger beside a replica.
+ * Adds rate limits that other entries or the ledger of a replica reported.
  *
- * @param context - of the event
- * @param event - the limits
+ * @param context - state, time and effects of the current event
+ * @param event - reported limits; those of unknown processes are ignored
  */
 export function learnLimits (context: RouterContext, { limits }: Pick<RouterEventOf<'limits_learned'>, 'limits'>): void {
   const { nowMs, state } = context
@@ -89,15 +89,15 @@
 }
 
 /**
- * Takes the permits of the keeper's answer.
+ * Handles the response of the limit leader to a request for permits.
  *
- * @param context - of the event
- * @param event - the answer
+ * @param context - state, time and effects of the current event
+ * @param event - the request with its outcome
  */
 export function takePermitsAnswer (context: RouterContext, { ask, outcome, replicaId }: RouterEventOf<'permits_answered'>): void {
   const { nowMs, state } = context
   const limit = state.limits.get(ask.processName)
-  // The keeper was only told that the limit was lifted.
+  // A request without a limit only reported that the limit was lifted.
   if (limit === undefined || ask.perS === undefined) return
   const change = takePermits(state.limits, limit, ask, outcome, nowMs)
   logChange(context, replicaId, change, 'keeper')
@@ -116,21 +116,21 @@
 }
 
 /**
- * Forgets limits of which nobody heard for long.
+ * Removes rate limits that no entry has seen for a long time.
  *
- * @param context - of the event
+ * @param context - state, time and effects of the current event
  */
 export function forgetOldLimits ({ nowMs, state }: RouterContext): void {
   if (state.limits.size > 0) forgetLimits(state.limits, nowMs)
 }
 
 /**
- * Finds the replicas that a request could use but for their limits.
+ * Returns the replicas with a rate limit that a request could use, whether or not they have permits.
  *
- * @param context - of the event
- * @param request - the request
- * @param stage - pool that is needed
- * @returns replicas that name limits
+ * @param context - state, time and effects of the current event
+ * @param request - request that needs a replica
+ * @param stage - pool that the replica must belong to
+ * @returns usable replicas that advertise a limit
  */
 export function limitedReplicas ({ nowMs, state }: RouterContext, request: RequestState, stage: ReplicaStage): LimitedReplica[] {
   return (state.usedByService.get(request.service) ?? []).flatMap((belief) => {
@@ -141,12 +141,12 @@
 }
 
 /**
- * Asks the keeper for permits.
+ * Requests permits from the limit leader.
  *
- * @param context - of the event
- * @param replicaId - of the replica
- * @param limit - of the replica
- * @param inMs - the ask is made after this
+ * @param context - state, time and effects of the current event
+ * @param replicaId - replica that the permits are for
+ * @param limit - rate limit of that replica
+ * @param inMs - delay before the request is sent
  */
 export function askPermits ({ effects, nowMs, state }: RouterContext, replicaId: string, limit: ReplicaLimit, inMs: number): void {
   effects.push({ type: 'ask_permits', replicaId, ask: createAsk(limit, state.instanceId, nowMs), inMs })
--- a/packages/bendfall-router/src/entry/BendfallRouterRequest.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterRequest.ts
@@ -1,5 +1,5 @@
 /**
- * State of one request, from its arrival to its final answer.
+ * State of one request from its arrival to its final response.
  *
  * @module
  */
@@ -8,44 +8,44 @@
 import type { ReplicaProcess } from '../crashes/BendfallRouterCrashRecords.js'
 import type { SendAccount } from './BendfallRouterSend.js'
 
-/** Step of the path that a request is in. */
+/** Step that a request is in. */
 export type Phase = 'allotment' | 'permit' | 'plain' | 'loads' | 'queue' | 'reserve' | 'hold' | 'prefill' | 'confirm' | 'run' | 'ended'
 
-/** Result of a prefill, kept at its replica for a short time. */
+/** Result of a prefill, which its replica keeps for a short time. */
 export interface PrefillResult {
   readonly replicaId: string
-  /** Start of the process that holds it; see {@link Replica}. */
+  /** Start time of the process that holds it; see {@link Replica}. */
   readonly startedAtMs?: number
   /** `ip:port` of the replica that holds it. */
   readonly address: string
   readonly handle: string
-  /** When the replica lets it go. */
+  /** When the replica discards it. */
   readonly expiresAtMs: number
 }
 
 /**
- * Where a prompt is read: at a prefill replica, or at the decode replica, because that
- * is sooner (`in_place`) or because no other way is left (`in_place_only`).
+ * Where a prompt is prefilled: on a prefill replica (`apart`), or on the decode replica because that
+ * is faster (`in_place`) or because no prefill replica can be used (`in_place_only`).
  */
 export type Reading = 'apart' | 'in_place' | 'in_place_only'
 
-/** Step that needs loads of replicas. */
+/** Step that waits for loads of replicas. */
 export type LoadStep = 'queue' | 'reserve' | 'prefill'
 
-/** Step that waits until the registrations are known again. */
+/** Step that may be postponed until the registrations have been read again. */
 export type ParkedStep = 'allotment' | 'plain' | 'queue' | 'reserve' | 'prefill' | 'confirm' | 'run'
 
 /** Step that may wait for a permit. */
 export type PermitStep = 'plain' | 'queue' | 'reserve'
 
-/** Permit that a run takes with it to a replica which names a limit. */
+/** Permit acquired in advance for a run on a replica with a rate limit. */
 export interface CarriedPermit {
-  /** Name of the replica's process. */
+  /** Name of the process that the permit is for. */
   readonly processName: string
   readonly takenAtMs: number
 }
 
-/** Place in the queue of a prefill replica. */
+/** Slot in the queue of a prefill replica. */
 export interface PrefillSlot {
   readonly replicaId: string
   readonly bookingId: string
@@ -59,98 +59,98 @@
   readonly holdId: string
 }
 
-/** Units that a request took of its customer's allotment. */
+/** Units that a request consumed from its customer's allotment. */
 export interface TakenUnits {
   readonly role: AllotmentRole
   readonly customer: string
   readonly units: number
 }
 
-/** A request from its arrival to its final answer. */
+/** A request from its arrival to its final response. */
 export interface RequestState {
   /** Unique within the process. */
   readonly key: string
-  /** The caller's id, sent on unchanged. */
+  /** Id set by the caller, forwarded unchanged. */
   readonly requestId: string
-  /** Equal for requests that ask for the same. */
+  /** Equal for requests with the same content. */
   readonly fingerprint: string
   readonly route: Route
   readonly service: string
   /** Absent where none is known: the route is open, or the deployment has no customers. */
   readonly customer?: Customer
-  /** Smaller is served first: the customer's, or else the route's. */
+  /** Lower values are served first. Taken from the customer, or else from the route. */
   readonly priority: number
   readonly prompt?: Prompt
   readonly arrivedAtMs: number
-  /** When the caller or the route stops waiting, whichever comes first. */
+  /** Deadline of the caller or of the route, whichever is earlier. */
   readonly deadlineAtMs: number
   readonly targetAtMs: number
   phase: Phase
-  /** Keeper that is asked for units of the customer's allotment. */
+  /** Role of the leader that units of the customer's allotment are requested from. */
   allotmentRole: AllotmentRole
-  /** Absent before they were taken, and for customers without an allotment. */
+  /** Absent until units are consumed, and for customers without an allotment. */
   taken?: TakenUnits
-  /** Grows with every step that waits for an answer, so that answers to earlier ones are dropped. */
+  /** Incremented by each step that waits for a response, so that responses to earlier steps are dropped. */
   attempt: number
-  /** When the loads of some replicas were last asked for it. */
+  /** When loads of replicas were last requested for it. */
   loadsAskedAtMs: number
-  /** Step that follows once they are answered. */
+  /** Step to start once the loads have arrived. */
   afterLoads?: LoadStep
-  /** Step that waits until the registrations are known again. */
+  /** Step to start once the registrations have been read again. */
   parked?: ParkedStep
-  /** Step that follows once a permit is there. */
+  /** Step to retry once permits have arrived. */
   permitStep?: PermitStep
-  /** Longest that it waits for permits. */
+  /** When it stops waiting for permits. */
   permitWaitUntilMs?: number
   permit?: CarriedPermit
-  /** Replicas that the request was sent to and that may have run it. */
+  /** Sends whose replica may have run the request. */
   runs: number
-  /** Sends to replicas, of prompts and of runs. */
+  /** Sends to replicas, both prefills and runs. */
   sends: number
-  /** How they were paid. */
+  /** What those sends cost the retry budget. */
   readonly account: SendAccount
   /** Replicas that failed or refused this request. */
   readonly excluded: Set<string>
-  /** Refusals of the ledgers that were asked since the last grant. */
+  /** Replicas that refused memory for the request. */
   refusals: number
-  /** Shortest wait told by a ledger that refused. */
+  /** Shortest wait that a refusing ledger returned. */
   retryAfterMs?: number
-  /** Replica whose memory is booked or asked for. */
+  /** Replica at which memory is booked or requested. */
   reservedAt?: string
-  /** Booking at that replica's ledger. */
+  /** Id of the booking in the ledger of that replica. */
   bookingId?: string
-  /** Slot at a prefill replica that the request waits for or has. */
+  /** Prefill slot that the request waits for or has. */
   prefillSlot?: PrefillSlot
-  /** Memory that the replica itself holds, while its ledger is away. */
+  /** Memory that the replica itself holds while its ledger is unavailable. */
   hold?: ReplicaHold
-  /** Replica that reads the prompt now. */
+  /** Replica on which the prefill is in progress. */
   prefillAt?: string
   prefillSentAtMs?: number
-  /** Expected time of that prefill. */
+  /** Predicted duration of that prefill. */
   prefillLeadMs?: number
-  /** Booking that shows the prompt to other entries while it is read. */
+  /** Booking that makes the prefill visible to other entries while it is in progress. */
   prefillBookingId?: string
-  /** Whether no other prompt was known at the replica when this one was sent. */
+  /** Whether the replica had no known backlog when the prompt was sent. */
   isPrefillAlone?: boolean
   reading: Reading
-  /** Whether a decode replica has refused to read this prompt itself. */
+  /** Whether in-place prefill was tried and no decode replica could start it at once. */
   isReadingRefused: boolean
   handle?: PrefillResult
-  /** Result that went with the last send. */
+  /** Prefill result used by the last send. */
   triedHandle?: PrefillResult
-  /** Process of a replica that the last send went to. */
+  /** Replica process that the last send went to. */
   sentTo?: ReplicaProcess
-  /** Replica that the request was sent to run at. */
+  /** Replica that the request was sent to for its run. */
   runAt?: string
   runSentAtMs?: number
-  /** Since when that run answers; absent until it does. */
+  /** When the response of that run started; absent before. */
   answersSinceMs?: number
-  /** Whether bytes of an answer went to the caller. */
+  /** Whether bytes of a response were sent to the caller. */
   isCommitted: boolean
-  /** Whether the first byte of the answer was late. */
+  /** Whether the first byte of the response was late. */
   isLate: boolean
-  /** When the answer broke off that is to be resumed. */
+  /** When the response that is to be resumed was interrupted. */
   brokenOffAtMs?: number
-  /** Last event that the caller has got whole. */
+  /** Id of the last event that the caller received completely. */
   lastEventId?: string
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterReserve.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterReserve.ts
@@ -1,6 +1,6 @@
 /**
- * Books decode memory before a prompt is read, so that no prefill is wasted on
- * a request that no decode replica has room for.
+ * Books decode memory before a prompt is prefilled, so that no prefill is wasted on a request for
+ * which no decode replica has memory.
  *
  * @module
  */
@@ -21,32 +21,32 @@
 import { canReadNow, FIRST_EVENT_MS, readInPlaceMs } from './BendfallRouterReading.js'
 import type { RequestState } from './BendfallRouterRequest.js'
 
-/** Ledgers asked for one request before it is refused. */
+/** Number of replicas that may refuse memory before the request is refused. */
 const MAX_REFUSALS = 3
 
-/** Told to callers when no decode replica is known. */
+/** `Retry-After` when no decode replica is known. */
 const NO_REPLICA_RETRY_MS = 1_000
 
-/** Longest wait told to callers for memory. */
+/** Upper bound of the `Retry-After` for missing memory. */
 const LONGEST_RETRY_MS = 4_000
 
-/** Shortest wait told to callers for memory: about the time in which one running answer ends. */
+/** Lower bound of the `Retry-After` for missing memory: about the time until one running response completes. */
 const SHORTEST_RETRY_MS = 400
 
-/** Told to all callers where the settings switch foreseen waits off. */
+/** `Retry-After` where the settings disable predicted waits. */
 const FIXED_RETRY_MS = 1_000
 
-/** Kept of a caller's patience for errors of the forecast. */
+/** Part of a caller's patience reserved for prediction errors. */
 const PATIENCE_MARGIN_MS = 600
 
-/** Margin before the result of a prefill lapses. */
+/** Safety margin before a prefill result expires. */
 const HANDLE_MARGIN_MS = 120
 
 /**
- * Asks the ledger of the decode replica that is likely to have room first.
+ * Requests a reservation at the decode replica that is expected to have free memory first.
  *
- * @param context - of the event
- * @param request - the request, with a prompt
+ * @param context - state, time and effects of the current event
+ * @param request - request with a prompt
  * @returns the next step
  */
 export function startReserve (context: RouterContext, request: RequestState): NextStep {
@@ -55,7 +55,7 @@
   return request.reading === 'in_place' ? reserveReader(context, request) : reserveRoom(context, request)
 }
 
-// Nobody waits for a replica that is to read the prompt itself: its point is to be sooner.
+// In-place prefill is chosen to start sooner, so a replica that requires a wait is not used for it.
 function reserveReader (context: RouterContext, request: RequestState): NextStep {
   const readers = knownReplicas(context, request, 'decode').filter((belief) => canReadNow(belief, request))
   if (readers.length === 0) return readApart(context, request)
@@ -79,11 +79,11 @@
 }
 
 /**
- * Takes the answer of a ledger.
+ * Handles the response of a ledger to a reservation.
  *
- * @param context - of the event
- * @param request - the request
- * @param outcome - the answer
+ * @param context - state, time and effects of the current event
+ * @param request - request that the reservation belongs to
+ * @param outcome - response of the ledger, or why there is none
  * @returns the next step
  */
 export function takeReserveAnswer (context: RouterContext, request: RequestState, outcome: ReserveOutcome): NextStep {
@@ -106,11 +106,11 @@
 }
 
 /**
- * Takes the answer of a replica that was asked to hold memory.
+ * Handles the response of a replica that was asked to hold memory because its ledger is unavailable.
  *
- * @param context - of the event
- * @param request - the request
- * @param outcome - the answer
+ * @param context - state, time and effects of the current event
+ * @param request - request that the memory is for
+ * @param outcome - response of the replica, or why there is none
  * @returns the next step
  */
 export function takeHoldAnswer (context: RouterContext, request: RequestState, outcome: HoldOutcome): NextStep {
@@ -120,14 +120,14 @@
   return askAgain(context, request)
 }
 
-// Another replica is asked; it counts as no refusal for want of memory.
+// Tries another replica. A lost replica does not count as a refusal for lack of memory.
 function leaveLost (context: RouterContext, request: RequestState, replicaId: string): NextStep {
   leaveReservation(context, request)
   request.excluded.add(replicaId)
   return { type: 'reserve' }
 }
 
-// No decode replica begins to read the prompt at once after all.
+// Falls back to a prefill replica, since no decode replica can start the prefill at once.
 function readApart (context: RouterContext, request: RequestState): NextStep {
   leaveReservation(context, request)
   request.reading = 'apart'
@@ -163,7 +163,7 @@
   })
   carryPermit(context, request, belief)
   if (context.state.decisions.reserve === 'none') return goOn(request)
-  // The run goes before the hold where the replica takes one request only.
+  // If the rate limit permits only one call, the run takes precedence over the hold.
   if (belief.ledgerDownUntilMs > context.nowMs && !takePermit(context, belief)) return goOn(request)
   if (belief.ledgerDownUntilMs > context.nowMs) return startHold(context, request, belief, expectedTokens(request), leadMs + readMs)
   context.effects.push({
@@ -186,12 +186,12 @@
 }
 
 /**
- * Refuses a request for which there is no capacity in time.
+ * Refuses a request for which no capacity is expected in time.
  *
- * @param context - of the event
- * @param request - the request
- * @param waitMs - until there is likely to be capacity
- * @param reason - what is lacking
+ * @param context - state, time and effects of the current event
+ * @param request - request to refuse; a response that has started is cut instead
+ * @param waitMs - predicted time until capacity is available, may be infinite
+ * @param reason - resource that is missing
  * @returns the next step
  */
 export function refuseMemory (context: RouterContext, request: RequestState, waitMs: number, reason: 'no_memory' | 'no_replica' | 'prefill_busy'): NextStep {
@@ -202,32 +202,32 @@
 }
 
 /**
- * Longest wait before the prompt is read: until the caller would give up, less
- * what follows the wait. A late answer is worth less than one on time but more
- * than a refusal, and ledgers serve those first that can be on time.
+ * Computes how long a request may wait for capacity: until its caller would time out, minus the time
+ * for the steps after the wait. Lateness alone is no reason to refuse, since a late response is worth
+ * more than a refusal, and ledgers serve requests first that can still meet their target.
  *
- * @param context - of the event
- * @param request - the request
- * @param leadMs - time from the end of the wait until the prompt is read
- * @returns milliseconds; negative when the answer would come too late
+ * @param context - state, time and effects of the current event
+ * @param request - request that would wait
+ * @param leadMs - predicted time from the end of the wait until the prefill is complete
+ * @returns milliseconds; negative if the response would come too late
  */
 export function longestWaitMs ({ nowMs }: RouterContext, request: RequestState, leadMs: number): number {
   if (request.handle === undefined) {
-    // Patience counts anew from each event. Counted from the arrival, of 700 streams of
-    // a day with crashes 12 were cut without a try to resume them.
+    // The caller's patience restarts with each event. When it was counted from the arrival, 12 of
+    // 700 streams on a day with crashes were cut without an attempt to resume them.
     return givenUpAtMs(request) - PATIENCE_MARGIN_MS - nowMs - leadMs - FIRST_EVENT_MS
   }
   return request.handle.expiresAtMs - HANDLE_MARGIN_MS - nowMs
 }
 
 /**
- * Time until an answer is late. A stream that broke off can't be late again: it is
- * due when its caller would give up, so that no ledger takes it for one that is late
- * and refuses it, which would cut it.
+ * Returns the time until a response counts as late. An interrupted stream has delivered its first
+ * byte, so it is due only when its caller would time out. Otherwise a ledger could treat it as late
+ * and refuse it, which would cut the stream.
  *
- * @param context - of the event
- * @param request - the request
- * @returns milliseconds; negative when it is late already
+ * @param context - state, time and effects of the current event
+ * @param request - request whose response is due
+ * @returns milliseconds; negative if it is late already
  */
 export function dueMs ({ nowMs }: RouterContext, request: RequestState): number {
   return (request.isCommitted ? givenUpAtMs(request) : request.targetAtMs) - nowMs
--- a/packages/bendfall-router/src/entry/BendfallRouterRestarts.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterRestarts.ts
@@ -1,7 +1,7 @@
 /**
- * A replica that starts again under its id is another process: it holds nothing of
- * before, and an id alone does not tell the two apart. What the entry believes of the
- * former one, and what it has under way there, ends when the new one is known.
+ * Handles the restart of a replica under the same id. The new process has none of the previous
+ * one's memory, and the id does not distinguish the two, so the view of the previous process and the
+ * sends to it end as soon as the new one is known.
  *
  * @module
  */
@@ -13,17 +13,17 @@
 import type { RequestState } from './BendfallRouterRequest.js'
 
 /**
- * Ends all that belongs to a former process of a replica.
+ * Discards all state of the previous process of a replica and fails the sends to it.
  *
- * @param context - of the event
- * @param replica - as its new process, or one that was not known, registered
+ * @param context - state, time and effects of the current event
+ * @param replica - registration of the new process, also if none was known before
  */
 export function endFormerIncarnation (context: RouterContext, replica: Replica): void {
   const { effects, state } = context
   const former = state.replicas.get(replica.replicaId)?.replica
   if (former !== undefined) {
     noteProcessEnded(context, former, 'registration')
-    // Without its start the name of the new process is the same.
+    // Without start times, both processes have the same name.
     state.notices.delete(nameProcess(former))
   }
   const wasKnown = removeReplica(state, replica.replicaId)
@@ -37,13 +37,13 @@
   effects.push({ type: 'log', decision: 'replica_restarted', requestId: '', inputs: { replica: replica.replicaId, startedAtMs: replica.startedAtMs, ended } })
 }
 
-// The order ended with the process that had it.
+// The previous process cannot carry out its stage order any more.
 function forgetOrders ({ state }: RouterContext, { replicaId, service }: Replica): void {
   if (state.poolOrders.get(service)?.replicaIds.includes(replicaId) === true) state.poolOrders.delete(service)
 }
 
-// The send fails as one whose replica crashed: only what may run again does. The request
-// no longer counts at the replica, so that its failure tells nothing of the new process.
+// Fails the send as if its replica had crashed, so only repeatable requests are retried. Clears the
+// replica from the request first, so that the failure is not attributed to the new process.
 function endSend ({ effects }: RouterContext, request: RequestState, replica: Replica): boolean {
   const { sentTo } = request
   if (sentTo === undefined || !isFormer(sentTo, replica)) return false
@@ -54,7 +54,7 @@
   return true
 }
 
-// Without the word of the platform two processes under one id are not told apart here.
+// Without start times from the platform, two processes under one id are not distinguished here.
 function isFormer (one: { readonly replicaId: string, readonly startedAtMs?: number }, { startedAtMs, replicaId }: Replica): boolean {
   return one.replicaId === replicaId && one.startedAtMs !== undefined && startedAtMs !== undefined && one.startedAtMs < startedAtMs
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterRetry.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterRetry.ts
@@ -1,5 +1,5 @@
 /**
- * Decides whether a request may be sent once more.
+ * Decides whether a request may be retried, by its kind, its remaining time and the retry budget.
  *
  * @module
  */
@@ -11,45 +11,45 @@
 import type { RequestState } from './BendfallRouterRequest.js'
 
 /**
- * Sends of one request to replicas at most, whatever their outcome; a bound against
- * loops. Steps at ledgers are none: counted with them, a request that had waited for a
- * slot was never sent again, nor its stream resumed.
+ * Maximum number of sends of one request to replicas, whatever their outcome; a bound against loops.
+ * Calls to ledgers do not count: when they did, a request that had waited for a slot was never
+ * retried, and its stream was never resumed.
  */
 const MAX_SENDS = 5
 
-/** Least time worth another send: a tenth of the shortest target of the users' plain calls. */
+/** Minimum remaining time for a retry: a tenth of the shortest latency target of the users' plain calls. */
 const MIN_REMAINING_MS = 20
 
-/** Whether the request has certainly not run, by failure. */
+/** Whether a kind of failure means that the request has certainly not run. */
 const IS_NOT_RUN: Readonly<Record<SendFailure, boolean>> = { not_run: true, wrong_replica: true, not_sent: true, unknown: false, connection_lost: false }
 
 /**
- * Tells whether a failed send has certainly not run.
+ * Checks whether a failed send has certainly not run.
  *
  * @param failure - how the send failed
- * @returns true when another replica may run the request, whatever its kind
+ * @returns true if another replica may run the request, even one that is not idempotent
  */
 export function hasNotRun (failure: SendFailure): boolean {
   return IS_NOT_RUN[failure]
 }
 
 /**
- * Tells whether a request may run more than once.
+ * Checks whether a request may run more than once.
  *
- * @param request - the request
- * @returns true for idempotent calls and streams that may be resumed
+ * @param request - request whose route decides
+ * @returns true for idempotent calls and resumable streams
  */
 export function mayRunAgain ({ route }: RequestState): boolean {
   return route.kind === 'idempotent' || (route.kind === 'streaming' && route.isResumable)
 }
 
 /**
- * Decides about another try and has its sends promised by the budget.
+ * Decides whether to retry a request and reserves the retry budget for its sends.
  *
- * @param context - of the event
- * @param request - the request
- * @param failure - how the last send failed
- * @returns whether to send again
+ * @param context - state, time and effects of the current event
+ * @param request - request whose last send failed
+ * @param failure - how that send failed
+ * @returns true if the request is to be sent again; its sends are reserved then
  */
 export function takeRetry (context: RouterContext, request: RequestState, failure: SendFailure): boolean {
   if (context.state.decisions.retries === 'none') return false
--- a/packages/bendfall-router/src/entry/BendfallRouterRun.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterRun.ts
@@ -1,5 +1,6 @@
 /**
- * Runs a request with a prompt at the decode replica whose memory is booked.
+ * Runs a request with a prompt on the decode replica whose memory is booked, and handles its
+ * response, failure or timeout.
  *
  * @module
  */
@@ -15,26 +16,26 @@
 import { coverSends, noteSendFailed, paySend, refuseUnpaid, sendRun } from './BendfallRouterSend.js'
 import type { RequestState } from './BendfallRouterRequest.js'
 
-/** A second call that reads the prompt counts like the run. */
+/** Sends of a repeated prefill and of the run; only the first prefill is free. */
 const SENDS_TO_READ_AND_RUN = 2
 
-/** Told to callers whose request every replica refused. */
+/** `Retry-After` for requests that every replica refused. */
 const REFUSED_RETRY_MS = 600
 
 /**
- * A run from the result of a prefill that may be repeated is given up without a
- * first event in this time: 99 of 100 have it within 55 ms.
+ * Timeout for the first event of a repeatable run that starts from a prefill result; 99 of 100
+ * arrive within 55 ms.
  */
 const FIRST_EVENT_TIMEOUT_MS = 300
 
-/** The same where the replica reads the prompt itself: this many times the expected length beyond that. */
+/** Added to that timeout for an in-place prefill, as a multiple of its predicted duration. */
 const READING_TIMEOUT_FACTOR = 2.5
 
 /**
- * Sends the request to the replica whose memory is booked.
+ * Sends a request to the replica whose memory is booked.
  *
- * @param context - of the event
- * @param request - the request
+ * @param context - state, time and effects of the current event
+ * @param request - request with booked memory
  * @returns the next step
  */
 export function startRun (context: RouterContext, request: RequestState): NextStep {
@@ -70,8 +71,8 @@
   return { type: 'reserve' }
 }
 
-// Sent with a result that is gone, it would be refused as if there were no memory, and be tried
-// with the same one elsewhere.
+// A run with an expired prefill result would be refused as if memory were missing, and would then be
+// retried elsewhere with the same result.
 function readAnew (context: RouterContext, request: RequestState): NextStep {
   logDecision(context, request, 'result_lapsed', { replica: request.handle?.replicaId })
   leaveHandle(context, request)
@@ -84,11 +85,11 @@
 }
 
 /**
- * Takes the end of a whole answer.
+ * Handles the complete response to a run and ends the request.
  *
- * @param context - of the event
- * @param request - the request
- * @param event - the answer
+ * @param context - state, time and effects of the current event
+ * @param request - request that was run
+ * @param event - status and output of the response
  * @returns the next step
  */
 export function takeRunAnswer (context: RouterContext, request: RequestState, event: RouterEventOf<'answer_complete'>): NextStep {
@@ -103,12 +104,12 @@
 }
 
 /**
- * Takes the failure of a run: it is tried elsewhere where that is allowed,
- * from the prefill's result while that lasts.
+ * Handles a failed run: retries it on another replica where that is allowed, reusing the prefill
+ * result while that is valid.
  *
- * @param context - of the event
- * @param request - the request
- * @param event - how it failed
+ * @param context - state, time and effects of the current event
+ * @param request - request that was run
+ * @param event - how the run failed, and the last event that was delivered
  * @returns the next step
  */
 export function takeRunFailure (context: RouterContext, request: RequestState, event: RouterEventOf<'run_failed'>): NextStep {
@@ -135,11 +136,11 @@
 }
 
 /**
- * Takes a run that has not begun to answer in time: its connection is closed, so
- * that the replica drops it, before it is tried elsewhere.
+ * Handles a run whose response has not started in time. Closes its connection first, so that the
+ * replica drops the run before it is retried elsewhere.
  *
- * @param context - of the event
- * @param request - the request
+ * @param context - state, time and effects of the current event
+ * @param request - request that timed out
  * @returns the next step
  */
 export function takeRunTimeout (context: RouterContext, request: RequestState): NextStep {
@@ -147,8 +148,8 @@
   return takeRunFailure(context, request, { type: 'run_failed', atMs: context.nowMs, key: request.key, attempt: request.attempt, failure: 'unknown' })
 }
 
-// A handle can be taken once: only a replica that was not reached, or that
-// refused for want of memory, leaves it usable.
+// A handle can be used once. It stays valid only if the replica was not reached or refused the run
+// for lack of memory.
 function keepHandle (context: RouterContext, request: RequestState, failure: SendFailure): void {
   const { triedHandle } = request
   request.triedHandle = undefined
--- a/packages/bendfall-router/src/entry/BendfallRouterSend.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterSend.ts
@@ -1,7 +1,7 @@
 /**
- * The one place through which requests are sent to replicas. Each send that arrives counts,
- * also one that is refused there; all but the first of a request are extra, and paid before
- * they are made. Only the first call that has the prompt read is free.
+ * Sends all requests to replicas and charges them to the retry budget. Each send that arrives
+ * counts, even if the replica refuses it. All but the first of a request are extra sends, which are
+ * charged before they are made. Only the first prefill call of a request is free.
  *
  * @module
  */
@@ -16,39 +16,39 @@
 import type { RequestState } from './BendfallRouterRequest.js'
 import type { ReplicaBelief } from './BendfallRouterState.js'
 
-/** Told to callers for whose request no further send may be paid. */
+/** `Retry-After` when the retry budget is exhausted. */
 const UNPAID_RETRY_MS = 1_000
 
-/** What the sends of a request were paid from. */
+/** Account of the sends of one request that count against the retry budget. */
 export interface SendAccount {
-  /** Sends that arrived or may have, without the free one. */
+  /** Sends that arrived or may have arrived, except the free one. */
   counted: number
-  /** Extra sends that the budget has promised. */
+  /** Extra sends reserved in the retry budget. */
   promised: number
-  /** Whether a replica has read the prompt, so that another call for it counts. */
+  /** Whether the free prefill is used up, so that another prefill call counts. */
   hasFreeRead: boolean
-  /** When the last send was paid from the budget; absent when it was the first one. */
+  /** When the last send was charged to the budget; absent if it was the first one. */
   extraMadeAtMs?: number
 }
 
-/** @returns the account of a request that was not sent yet */
+/** @returns account of a request that has not been sent yet */
 export function createAccount (): SendAccount {
   return { counted: 0, promised: 0, hasFreeRead: false }
 }
 
-/** How a send was paid: as the first of its request, or from the budget. */
+/** What a send is charged to: nothing, as the first of its request, or the retry budget. */
 export type Payment = 'first' | 'budget'
 
-/** Why a send must not be made: nothing is left to pay it with, or its replica takes none. */
+/** Why a send must not be made: the budget is exhausted, or its replica accepts no sends. */
 export type Unsent = 'unpaid' | 'closed'
 
 /**
- * Has the next sends of a request promised before the first of them is made.
+ * Reserves retry budget for the next sends of a request before the first of them is made.
  *
- * @param context - of the event
- * @param request - the request
- * @param sends - how many of them count
- * @returns whether all may be made
+ * @param context - state, time and effects of the current event
+ * @param request - request to be sent
+ * @param sends - number of sends that count against the budget
+ * @returns true if all are reserved; false if the budget does not suffice
  */
 export function coverSends (context: RouterContext, request: RequestState, sends: number): boolean {
   const { account } = request
@@ -65,10 +65,10 @@
 }
 
 /**
- * Counts the sends of the next try of a request.
+ * Counts the chargeable sends of the next attempt of a request.
  *
- * @param request - the request
- * @returns one for the run, and one for another call that reads the prompt
+ * @param request - request to be retried
+ * @returns one for the run, plus one for a repeated prefill
  */
 export function sendsOfNextTry ({ account, handle, prompt, reading, route }: RequestState): number {
   const readsApart = route.hasPrompt && prompt !== undefined && handle === undefined && reading === 'apart'
@@ -76,13 +76,13 @@
 }
 
 /**
- * Sends a prompt to be read.
+ * Sends the prompt of a request to a prefill replica.
  *
- * @param context - of the event
- * @param request - the request
- * @param payment - of this send
- * @param effect - the send
- * @param inputs - what decided it
+ * @param context - state, time and effects of the current event
+ * @param request - request with the prompt
+ * @param payment - what the send is charged to, for the log
+ * @param effect - parameters of the send
+ * @param inputs - inputs of the decision, for the log
  */
 export function sendPrefill (context: RouterContext, request: RequestState, payment: Payment, effect: Omit<RouterEffectOf<'send_prefill'>, 'type' | 'customer'>, inputs: DecisionInputs): void {
   logDecision(context, request, 'prefill_sent', { ...inputs, ...paymentInputs(context, request, payment) })
@@ -90,13 +90,13 @@
 }
 
 /**
- * Sends a request to run.
+ * Sends a request to a replica that runs it.
  *
- * @param context - of the event
- * @param request - the request
- * @param payment - of this send
- * @param effect - the send
- * @param inputs - what decided it
+ * @param context - state, time and effects of the current event
+ * @param request - request to run
+ * @param payment - what the send is charged to, for the log
+ * @param effect - parameters of the send
+ * @param inputs - inputs of the decision, for the log
  */
 export function sendRun (context: RouterContext, request: RequestState, payment: Payment, effect: Omit<RouterEffectOf<'send_run'>, 'type' | 'customer'>, inputs: DecisionInputs): void {
   logDecision(context, request, 'sent', { ...inputs, ...paymentInputs(context, request, payment) })
@@ -108,14 +108,14 @@
 }
 
 /**
- * Pays for a send, just before it is made. A replica that leaves or backs off is sent
- * nothing, whatever was booked there before it said so, and one that names a limit no more
- * than permits were leased for.
+ * Charges a send just before it is made. Blocks sends to a replica that is leaving or asks for
+ * backoff, even if memory was booked there before, and sends beyond the leased permits of a replica
+ * with a rate limit.
  *
- * @param context - of the event
- * @param request - the request
- * @param belief - about the replica
- * @returns how it was paid, or why it must not be made
+ * @param context - state, time and effects of the current event
+ * @param request - request to send
+ * @param view - replica that the send goes to
+ * @returns what the send is charged to, or why it must not be made
  */
 export function paySend (context: RouterContext, request: RequestState, belief: ReplicaBelief): Payment | Unsent {
   if (!isOpen(context, belief)) return 'closed'
@@ -144,9 +144,9 @@
 }
 
 /**
- * Ends a request for whose next send the budget does not suffice.
+ * Refuses a request whose next send exceeds the retry budget.
  *
- * @param request - the request
+ * @param request - request to refuse; a response that has started is cut instead
  * @returns the next step
  */
 export function refuseUnpaid (request: RequestState): NextStep {
@@ -156,10 +156,10 @@
 }
 
 /**
- * Notes that a replica has read the prompt: the first such call is free.
+ * Records that a prefill call was processed. Refunds the first one of a request, which is free.
  *
- * @param context - of the event
- * @param request - the request
+ * @param context - state, time and effects of the current event
+ * @param request - request that the prefill belongs to
  */
 export function noteRead (context: RouterContext, request: RequestState): void {
   if (request.account.hasFreeRead) return
@@ -168,11 +168,11 @@
 }
 
 /**
- * Notes how a send failed: one that did not arrive is not counted.
+ * Records a failed send. Refunds it if it did not reach the replica.
  *
- * @param context - of the event
- * @param request - the request
- * @param failure - how the last send failed
+ * @param context - state, time and effects of the current event
+ * @param request - request whose send failed
+ * @param failure - how the send failed
  */
 export function noteSendFailed (context: RouterContext, request: RequestState, failure: SendFailure): void {
   if (failure === 'not_sent') takeBack(context, request)
@@ -188,10 +188,10 @@
 }
 
 /**
- * Gives back what was promised to a request that ends.
+ * Returns the reserved sends of a request that ends to the retry budget.
  *
- * @param context - of the event
- * @param request - the request
+ * @param context - state, time and effects of the current event
+ * @param request - request that ends
  */
 export function leavePromises (context: RouterContext, request: RequestState): void {
   if (request.account.promised === 0) return
--- a/packages/bendfall-router/src/entry/BendfallRouterStalls.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterStalls.ts
@@ -1,8 +1,8 @@
 /**
- * Replicas that hang on one kind of request and answer others: beliefs by replica and
- * route, fed by calls that are open for too long. A call that may run once has no other
- * end there than its deadline, and lookups that the replica answers meanwhile would
- * clear what was learned from it: of 1,500 confirmations 61 were lost so in 300 s.
+ * Detects replicas that hang on the requests of one route while they answer others, from calls that
+ * are open for too long. The state is kept per replica and route: a call that must not be repeated
+ * ends there only at its deadline, and with state per replica the lookups answered in the meantime
+ * would reset it, which lost 61 of 1,500 confirmations in 300 s.
  *
  * @module
  */
@@ -10,22 +10,22 @@
 import type { RequestState } from './BendfallRouterRequest.js'
 import type { ReplicaBelief, RouteBelief } from './BendfallRouterState.js'
 
-/** An open call is overdue after this many mean times of an answer: a queue four times as long as the service. */
+/** A call is overdue after this multiple of the mean latency, which corresponds to a queueing time of four service times. */
 const OVERDUE_MEANS = 6
 
-/** Shortest such time: answers of the users' plain services take 60 ms, one of a hundred five times that. */
+/** Lower bound of that time: responses of the users' plain services take 60 ms, and one in a hundred takes five times that. */
 const SHORTEST_OVERDUE_MS = 400
 
-/** First time for which no call of the route goes to a replica on which one hung; doubles with each that hangs. */
+/** Initial time for which a replica gets no calls of a route after one hung there; doubles with each further one. */
 const FIRST_STALL_MS = 2_000
 
-/** Longest such time: a call that is lost to find out costs its caller the answer. */
+/** Upper bound of that time; every probe of a replica that still hangs costs its caller the response. */
 const LONGEST_STALL_MS = 30_000
 
 /**
- * Notes the calls that are open for too long.
+ * Records and logs the calls that have become overdue.
  *
- * @param context - of a tick
+ * @param context - state, time and effects of the current tick
  */
 export function noteOverdue (context: RouterContext): void {
   const { effects, nowMs, state } = context
@@ -42,10 +42,11 @@
 }
 
 /**
- * Notes that a call ended without an answer; one that was overdue hung.
+ * Records that a call ended without a response. If it was overdue, the replica counts as stalled on
+ * its route for some time.
  *
- * @param context - of the event
- * @param request - the request, still at its replica
+ * @param context - state, time and effects of the current event
+ * @param request - request that is still assigned to its replica
  */
 export function noteUnanswered ({ nowMs, state }: RouterContext, request: RequestState): void {
   const known = state.replicas.get(request.runAt ?? '')?.routes.get(request.route.name)
@@ -55,22 +56,22 @@
 }
 
 /**
- * Notes an answer on a route.
+ * Records a response on a route, which ends its stall.
  *
- * @param belief - about the replica
- * @param request - the request
+ * @param view - replica that responded
+ * @param request - request that was answered
  */
 export function noteAnswered ({ routes }: ReplicaBelief, request: RequestState): void {
   routes.delete(request.route.name)
 }
 
 /**
- * Tells whether a replica hangs on the requests of a route.
+ * Checks whether a replica hangs on the requests of a route.
  *
- * @param belief - about the replica
+ * @param view - replica to check
  * @param route - name of the route
- * @param nowMs - the time
- * @returns true while a call is overdue there, or one hung a short time ago
+ * @param nowMs - current monotonic time
+ * @returns true while a call is overdue there or one hung a short time ago
  */
 export function isStalled ({ routes }: ReplicaBelief, route: string, nowMs: number): boolean {
   const known = routes.get(route)
--- a/packages/bendfall-router/src/entry/BendfallRouterStandstill.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterStandstill.ts
@@ -1,7 +1,7 @@
 /**
- * Notices that the process stood still, frozen or without a processor, and sends
- * nothing to replicas until the registrations have been read again: what was known
- * before may be older than the time in which a leaving replica must get no new work.
+ * Detects that the process was paused, suspended or without CPU time. Nothing is sent to replicas
+ * until the registrations have been read again, since they may be older than the time within which a
+ * leaving replica must stop receiving new work.
  *
  * @module
  */
@@ -10,18 +10,18 @@
 import type { ParkedStep, RequestState } from './BendfallRouterRequest.js'
 import type { RouterState } from './BendfallRouterState.js'
 
-/** Events come at least this often, since time itself is one. */
+/** Maximum interval between events, since a tick is an event. */
 export const TICK_MS = 400
 
-/** A longer time without an event is a standstill; a busy process is late by some hundred milliseconds. */
+/** A longer gap between events counts as a pause; a busy process is late by some hundred milliseconds. */
 const STANDSTILL_MS = 1_000
 
 /**
- * Compares the time of an event with that of the last one. A time of day that ran ahead may
- * be a suspension or a step: it is believed as far as it costs a read only, so that loads
- * are asked for anew, while requests keep their deadlines.
+ * Compares the time of an event with that of the previous one. Wall clock time that ran ahead of the
+ * monotonic clock may be a suspension or a clock step, so it is used only where a mistake costs no
+ * more than a read: loads are requested again, but requests keep their deadlines.
  *
- * @param context - of the event, before it is handled
+ * @param context - state, time and effects of the event, before it is handled
  * @param suspendedMs - time that the monotonic clock may not have counted
  */
 export function noteStandstill ({ effects, nowMs, state }: RouterContext, suspendedMs = 0): void {
@@ -41,22 +41,22 @@
 }
 
 /**
- * Has a request wait until the registrations are known again.
+ * Parks a request until the registrations have been read again.
  *
- * @param request - the request
- * @param step - step that follows
+ * @param request - request that must not be sent yet
+ * @param step - step to start afterwards
  */
 export function park (request: RequestState, step: ParkedStep): void {
   request.parked = step
-  // What was asked for the step before is answered in vain.
+  // Responses to calls of the previous step are dropped.
   request.attempt += 1
 }
 
 /**
- * Ends the wait.
+ * Ends the pause and unparks all requests.
  *
- * @param context - of the event
- * @returns the requests that waited, each with its step
+ * @param context - state, time and effects of the current event
+ * @returns requests to resume, each with its step
  */
 export function unpark ({ state }: RouterContext): Array<{ readonly request: RequestState, readonly step: ParkedStep }> {
   state.isUnsure = false
--- a/packages/bendfall-router/src/entry/BendfallRouterState.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterState.ts
@@ -1,6 +1,5 @@
 /**
- * State of the entry: its requests, and what it believes of replicas. The
- * reducer alone changes it.
+ * State of the entry: its requests and its view of the replicas. Only the reducer changes it.
  *
  * @module
  */
@@ -24,67 +23,67 @@
 import type { RunOutcomes } from './BendfallRouterRefusals.js'
 import type { RequestState } from './BendfallRouterRequest.js'
 
-/** What this process believes of a replica's answers to the requests of one route. */
+/** Health of a replica on one route, as seen by this process. */
 export interface RouteBelief {
-  /** Keys of the requests that are open there for too long. */
+  /** Keys of the requests that are overdue there. */
   readonly overdue: Set<string>
-  /** Such requests that ended without an answer, in a row. */
+  /** Consecutive overdue requests that ended without a response. */
   hung: number
-  /** No request of the route is sent there before this time unless nothing else is left. */
+  /** Requests of the route avoid the replica until this time unless no other is usable. */
   stalledUntilMs: number
 }
 
-/** What this process believes of a replica. */
+/** This process's view of a replica. */
 export interface ReplicaBelief {
   replica: Replica
-  /** Rank among the replicas that this entry may use. */
+  /** Score that ranks the replica for the subset that this entry uses. */
   readonly subsetScore: number
   load?: ReplicaLoad
   loadAtMs: number
-  /** Requests of this process that run there. */
+  /** Requests of this process that are running there. */
   inFlight: number
-  /** Sends of the last second. */
+  /** Sends of this process in the last second. */
   readonly recentSends: RecentSends
-  /** Tokens that this process booked there since the last load. */
+  /** Tokens that this process booked there since the last load report. */
   bookedSinceLoad: number
-  /** Tokens of this process whose requests run there, for when no ledger answers. */
+  /** Tokens of the requests of this process that hold memory there, used while its ledger is unavailable. */
   ownTokens: number
-  /** Prompt tokens that this process has in prefill there; none at decode replicas. */
+  /** Prompt tokens of this process in prefill there; 0 at decode replicas. */
   prefillTokens: number
-  /** Prompt tokens that this process had read there and that its last load does not tell of. */
+  /** Prompt tokens that this process sent there and that the last load report does not include. */
   prefillSinceLoad: number
-  /** Time of its prefills over the time expected without it; 1 is the mean replica. */
+  /** Ratio of the actual to the predicted duration of its prefills; 1 for an average replica. */
   prefillPace: number
-  /** Share of recent answers that failed, 0 to 1. */
+  /** Moving average of the share of failed responses, 0 to 1. */
   failureShare: number
-  /** Mean time of an answer; 0 while none is known. */
+  /** Mean response time; 0 before the first measurement. */
   latencyMs: number
   consecutiveFailures: number
-  /** By name of the route; none while answers come in time. */
+  /** Health by name of the route; absent for routes without overdue calls. */
   readonly routes: Map<string, RouteBelief>
-  /** Not used before this time unless nothing else is left. */
+  /** The replica is avoided until this time unless no other is usable. */
   suspectUntilMs: number
-  /** Calls of its ledger that had no answer, in a row. */
+  /** Consecutive calls to its ledger without a response. */
   ledgerFailures: number
-  /** Its ledger is not asked before this time. */
+  /** Its ledger is not called before this time. */
   ledgerDownUntilMs: number
 }
 
-/** Work of a service's pools, as its holder has seen it. */
+/** Load of a service's pools, as measured by the holder of the lease on them. */
 export interface ObservedWork {
   readonly work: PoolWork
-  /** Begin of the observation: when the lease or the last change was new. */
+  /** Start of the measurement: when the lease was acquired or the last change was ordered. */
   readonly sinceMs: number
   readonly readings: number
 }
 
-/** Orders that were given together. */
+/** Stage orders that were sent together. */
 export interface PoolOrder {
   readonly replicaIds: readonly string[]
-  /** Stage that they change to. */
+  /** Stage that the replicas change to. */
   readonly stage: ReplicaStage
   readonly orderedAtMs: number
-  /** Until when the pools are left alone, so that its effect is seen. */
+  /** Until when the pools stay unchanged, so that the effect of the order is measurable. */
   settledAtMs: number
 }
 
@@ -94,89 +93,89 @@
   readonly instanceId: string
   readonly decisions: RouterDecisions
   config?: RouterConfig
-  /** Customers of the configuration, by their keys. */
+  /** Customers of the configuration, indexed by their API keys. */
   customerIndex?: CustomerIndex
   readonly credentialLimits: CredentialLimits
-  /** Time up to which all versions of the configuration are known; moves back by suspensions of the machine. */
+  /** Time up to which the configuration is verified to be the newest; moved back by suspensions of the machine. */
   configProvenAtMs: number
-  /** Requests that came while the process did not know whether their keys still hold, by key. */
+  /** Requests that arrived while the process could not tell whether their API keys are still valid, by request key. */
   readonly heldArrivals: Map<string, Arrival>
   readonly replicas: Map<string, ReplicaBelief>
-  /** When the key-value service last told all changes of the registrations. */
+  /** Time up to which all registration changes in the key-value service are known. */
   replicasCurrentAtMs: number
-  /** Replicas whose address another one has, by id, with the id of that one. */
+  /** Replicas whose address was taken over by a later registration: from their id to the id of that one. */
   readonly replaced: Map<string, string>
-  /** Last words of replicas whose registration is gone, by id. */
+  /** Last state of replicas whose registration is gone, by id. */
   readonly departed: Map<string, DepartedReplica>
-  /** Registrations that name no replica of a service of the configuration, by id. */
+  /** Registrations that match no service of the configuration, by id. */
   readonly foreign: Map<string, Replica>
-  /** Ids of the replicas, by address. */
+  /** Ids of replicas, by address. */
   readonly byAddress: Map<string, string>
-  /** Replicas whose registration is missing after an outage: it lapsed in it, or they leave. */
+  /** Replicas whose registration is missing after an outage, because it expired or because they are leaving. */
   readonly missing: Set<string>
-  /** Model replicas that this entry uses. */
+  /** Ids of the model replicas that this entry uses. */
   readonly subset: Set<string>
-  /** Those and the replicas without a model, by service. */
+  /** Views of those and of the replicas without a model, by service. */
   readonly usedByService: Map<string, ReplicaBelief[]>
-  /** Whether a replica came, went, drains or changed its pool since the subset was chosen. */
+  /** Whether a replica was added or removed, started to drain or changed its pool since the subset was chosen. */
   isSubsetStale: boolean
   readonly requests: Map<string, RequestState>
-  /** Longest time that callers of a route were seen to wait, by the route's name. */
+  /** Longest observed wait of callers, by name of the route. */
   readonly longestWaitMs: Map<string, number>
-  /** How long callers of a route wait, by the route's name. */
+  /** Observed waits of callers, by name of the route. */
   readonly callerWaits: Map<string, CallerWaits>
-  /** What retries of a service may cost. */
+  /** Limits of the retry budget of each service. */
   readonly budgetLimits: BudgetLimits
   readonly budgets: Map<string, RetryBudget>
-  /** What replicas said of themselves. */
+  /** Notices that replicas sent about themselves: leaving, backoff. */
   readonly notices: ReplicaNotices
-  /** Limits that replicas name, with permits for sends to them. */
+  /** Rate limits that replicas advertise, with the permits leased for them. */
   readonly limits: ReplicaLimits
   /** Keys of the requests that wait for a permit. */
   readonly permitWaiters: Set<string>
-  /** When the last caller is to return that was refused for want of a permit, by service. */
+  /** When the caller that was last refused for lack of a permit is to retry, by service. */
   readonly permitReturns: Map<string, number>
-  /** Headers in which replicas said what is not decoded, with the replica. */
+  /** Response headers that the router does not decode, each with its replica. */
   readonly undecoded: Set<string>
-  /** Replicas that crashed, and the requests they ran. */
+  /** Replicas that crashed, and the requests that they were running. */
   readonly crashes: CrashRecords
-  /** By service. */
+  /** Outcomes of recent runs, by service. */
   readonly runOutcomes: Map<string, RunOutcomes>
-  /** Speed of prefill, learned from answers. */
+  /** Prefill time per prompt token, learned from responses. */
   prefillMsPerToken: number
-  /** Speed at which decode replicas read prompts beside their other work, learned from answers. */
+  /** In-place prefill time per prompt token on decode replicas, learned from responses. */
   inPlaceMsPerToken: number
-  /** What operators confirmed for the pools; absent: they stay as they are. */
+  /** Pool shares confirmed by operators; if absent, the pools stay unchanged. */
   poolIntent?: PoolIntent
-  /** Measured work of the pools, by service. */
+  /** Measured load of the pools, by service. */
   readonly poolWork: Map<string, ObservedWork>
-  /** Last orders for the pools, by service. */
+  /** Most recent stage orders, by service. */
   readonly poolOrders: Map<string, PoolOrder>
-  /** When the last event came. */
+  /** Time of the last event. */
   lastEventAtMs: number
-  /** Whether the process stood still and has not read the registrations since. */
+  /** Whether the process was paused and has not read the registrations since. */
   isUnsure: boolean
   seed: number
-  /** Set once the process is to stop. */
+  /** Set once the process has been asked to stop. */
   stop?: { readonly askedAtMs: number, readonly killAtMs: number }
 }
 
-/** Time to read a prompt token before any was measured: 33 tokens a millisecond on the users' engines. */
+/** Prefill time per token before the first measurement: 33 tokens per millisecond on the users' engines. */
 const FIRST_PREFILL_MS_PER_TOKEN = 0.03
 
-/** The same at a decode replica before any was measured: half the speed, in turns with a dozen other requests. */
+/** In-place prefill time per token before the first measurement: half the speed, interleaved with a dozen other requests. */
 const FIRST_IN_PLACE_MS_PER_TOKEN = 0.15
 
 /**
- * Makes the state of an entry that knows nothing yet.
+ * Creates the initial state of an entry.
  *
- * @param seed - of the random numbers
- * @param instanceId - name of the instance of this process
- * @param decisions - switches of its mechanisms
- * @param budgetLimits - what retries may cost
+ * @param seed - seed of the random numbers
+ * @param instanceId - name of the instance that this process runs on
+ * @param decisions - settings that select or disable mechanisms
+ * @param budgetLimits - limits of the retry budget of each service
  * @param crashLimits - when a request counts as the cause of crashes
- * @param credentialLimits - how long keys are believed
- * @returns the state
+ * @param credentialLimits - how long API keys stay valid without a verified configuration
+ * @returns state without configuration, replicas and requests
  */
 export function createRouterState (seed: number, instanceId: string, decisions: RouterDecisions = DEFAULT_DECISIONS, budgetLimits: BudgetLimits = DEFAULT_BUDGET_LIMITS, crashLimits: CrashLimits = DEFAULT_CRASH_LIMITS, credentialLimits: CredentialLimits = DEFAULT_CREDENTIAL_LIMITS): RouterState {
   return {
--- a/packages/bendfall-router/src/entry/BendfallRouterSubset.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterSubset.ts
@@ -1,6 +1,6 @@
 /**
- * The model replicas that one entry uses, so that its connections do not grow with
- * the fleet; each replica is used by as many entries as any other, but for chance.
+ * Selects the model replicas that one entry uses, so that its number of connections does not grow
+ * with the fleet. On average each replica is used by the same number of entries.
  *
  * @module
  */
@@ -8,13 +8,13 @@
 import { hasSaidLeaving } from '../notices/BendfallRouterNotices.js'
 import type { ReplicaBelief, RouterState } from './BendfallRouterState.js'
 
-/** Replicas of one service and pool that an entry uses at most: all of the users' small deployments. */
+/** Maximum number of replicas that an entry uses per service and pool; covers the users' small deployments completely. */
 export const SUBSET_SIZE = 12
 
 /**
- * Chooses the subset anew if a replica came, went, drains or changed its pool.
+ * Recomputes the subset if a replica was added or removed, started to drain or changed its pool.
  *
- * @param state - changed in place
+ * @param state - state of the entry, changed in place
  */
 export function chooseSubset (state: RouterState): void {
   if (!state.isSubsetStale) return
