--- a/packages/bendfall-router/src/entry/BendfallRouterPermitWait.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterPermitWait.ts
@@ -14,20 +14,20 @@
 import type { PermitStep, RequestState } from './BendfallRouterRequest.js'
 
 /** Longest time that a request waits for a permit. */
-const LONGEST_WAIT_MS = 150
+const MAX_WAIT_MS = 150
 
 /** Requests that may wait in addition to those that the permits of one maximum wait can serve. */
-const WAITING_BESIDE = 2
+const EXTRA_WAITERS = 2
 
 /** `Retry-After` while the limit leader does not respond; a new leader is elected within seconds. */
-const UNKNOWN_RETRY_MS = 500
+const NO_LEADER_RETRY_MS = 500
 
 /** Bounds of the `Retry-After` sent to callers. */
-const SHORTEST_RETRY_MS = 50
-const LONGEST_RETRY_MS = 4_000
+const MIN_RETRY_MS = 50
+const MAX_RETRY_MS = 4_000
 
 /** Random increase of `Retry-After`, so that callers refused at the same time do not return together. */
-const SPREAD = 0.2
+const RETRY_JITTER = 0.2
 
 const MS_PER_SECOND = 1_000
 
@@ -51,14 +51,14 @@
   if (state.limits.size === 0 || usableReplicas(context, request, stage).length > 0) return undefined
   const limited = limitedReplicas(context, request, stage)
   if (limited.length === 0) return undefined
-  const soonest = limited.reduce((best, one) => freeAtMs(one.limit, nowMs) < freeAtMs(best.limit, nowMs) ? one : best)
+  const earliest = limited.reduce((best, one) => nextPermitAtMs(one.limit, nowMs) < nextPermitAtMs(best.limit, nowMs) ? one : best)
   const perS = limited.reduce((sum, { limit }) => sum + limit.perS / limit.entries, 0)
-  if (mayWait(context, request, freeAtMs(soonest.limit, nowMs), perS)) {
-    if (!soonest.limit.isAsking) askPermits(context, soonest.replicaId, soonest.limit, freeAtMs(soonest.limit, nowMs) - nowMs)
-    wait(context, request, step)
+  if (canWait(context, request, nextPermitAtMs(earliest.limit, nowMs), perS)) {
+    if (!earliest.limit.isAsking) askPermits(context, earliest.replicaId, earliest.limit, nextPermitAtMs(earliest.limit, nowMs) - nowMs)
+    startWait(context, request, step)
     return { next: undefined }
   }
-  return { next: refuseLimited(context, request, freeAtMs(soonest.limit, nowMs), perS) }
+  return { next: refuseForLimit(context, request, nextPermitAtMs(earliest.limit, nowMs), perS) }
 }
 
 /**
@@ -94,17 +94,17 @@
   request.permitStep = undefined
 }
 
-function freeAtMs ({ nextAskAtMs }: ReplicaLimit, nowMs: number): number {
+function nextPermitAtMs ({ nextAskAtMs }: ReplicaLimit, nowMs: number): number {
   return Math.max(nowMs, nextAskAtMs)
 }
 
-function mayWait ({ nowMs, state }: RouterContext, request: RequestState, atMs: number, perS: number): boolean {
-  request.permitWaitUntilMs ??= Math.min(nowMs + LONGEST_WAIT_MS, request.deadlineAtMs)
+function canWait ({ nowMs, state }: RouterContext, request: RequestState, atMs: number, perS: number): boolean {
+  request.permitWaitUntilMs ??= Math.min(nowMs + MAX_WAIT_MS, request.deadlineAtMs)
   if (atMs > request.permitWaitUntilMs || nowMs >= request.permitWaitUntilMs) return false
-  return state.permitWaiters.has(request.key) || state.permitWaiters.size < WAITING_BESIDE + perS * LONGEST_WAIT_MS / MS_PER_SECOND
+  return state.permitWaiters.has(request.key) || state.permitWaiters.size < EXTRA_WAITERS + perS * MAX_WAIT_MS / MS_PER_SECOND
 }
 
-function wait ({ state }: RouterContext, request: RequestState, step: PermitStep): void {
+function startWait ({ state }: RouterContext, request: RequestState, step: PermitStep): void {
   state.permitWaiters.add(request.key)
   request.phase = 'permit'
   request.attempt += 1
@@ -112,14 +112,14 @@
 }
 
 // Spaces the retries of refused callers at the rate at which this entry receives its share of the permits.
-function refuseLimited (context: RouterContext, request: RequestState, freeAtMs: number, perS: number): NextStep {
+function refuseForLimit (context: RouterContext, request: RequestState, freeAtMs: number, perS: number): NextStep {
   const { nowMs, state } = context
   logDecision(context, request, 'permits_lacking', { perS: Math.round(perS * 100) / 100, freeInMs: Math.round(freeAtMs - nowMs), waiting: state.permitWaiters.size })
   if (request.isCommitted) return { type: 'cut', reason: 'replicas_limited' }
-  const spacingMs = perS > 0 ? MS_PER_SECOND / perS : LONGEST_RETRY_MS
-  const knownAtMs = freeAtMs > nowMs ? freeAtMs : nowMs + UNKNOWN_RETRY_MS
-  const returnAtMs = Math.min(nowMs + LONGEST_RETRY_MS, Math.max(knownAtMs, (state.permitReturns.get(request.service) ?? -Infinity) + spacingMs))
-  state.permitReturns.set(request.service, returnAtMs)
-  const retryAfterMs = Math.max(SHORTEST_RETRY_MS, (returnAtMs - nowMs) * (1 + SPREAD * draw(state)))
+  const spacingMs = perS > 0 ? MS_PER_SECOND / perS : MAX_RETRY_MS
+  const permitAtMs = freeAtMs > nowMs ? freeAtMs : nowMs + NO_LEADER_RETRY_MS
+  const retryAtMs = Math.min(nowMs + MAX_RETRY_MS, Math.max(permitAtMs, (state.permitReturns.get(request.service) ?? -Infinity) + spacingMs))
+  state.permitReturns.set(request.service, retryAtMs)
+  const retryAfterMs = Math.max(MIN_RETRY_MS, (retryAtMs - nowMs) * (1 + RETRY_JITTER * draw(state)))
   return { type: 'refuse', status: request.runs > 0 ? 502 : 503, reason: 'replicas_limited', retryAfterMs }
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterPermits.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterPermits.ts
@@ -14,7 +14,7 @@
 import type { ReplicaBelief } from './BendfallRouterState.js'
 
 /** Time for which a run keeps its permit while its prompt is prefilled. */
-const CARRIED_MS = 2_000
+const RUN_PERMIT_TTL_MS = 2_000
 
 /**
  * Requests permits for each replica that a request could use and that has none left.
@@ -58,9 +58,9 @@
  */
 export function mayRelease (context: RouterContext, replicaId: string): boolean {
   const { nowMs, state } = context
-  const belief = state.replicas.get(replicaId)
-  if (belief === undefined) return true
-  return backoffLeftMs(state.notices, nameProcess(belief.replica), nowMs) === 0 && takePermit(context, belief)
+  const view = state.replicas.get(replicaId)
+  if (view === undefined) return true
+  return backoffLeftMs(state.notices, nameProcess(view.replica), nowMs) === 0 && takePermit(context, view)
 }
 
 /**
@@ -71,9 +71,9 @@
  * @param request - request that keeps the permit
  * @param view - replica that the memory is booked at
  */
-export function carryPermit (context: RouterContext, request: RequestState, belief: ReplicaBelief): void {
-  if (limitOf(context.state, belief.replica) === undefined || !takePermit(context, belief)) return
-  request.permit = { processName: nameProcess(belief.replica), takenAtMs: context.nowMs }
+export function carryPermit (context: RouterContext, request: RequestState, view: ReplicaBelief): void {
+  if (limitOf(context.state, view.replica) === undefined || !takePermit(context, view)) return
+  request.permit = { processName: nameProcess(view.replica), takenAtMs: context.nowMs }
 }
 
 /**
@@ -85,12 +85,12 @@
  * @param view - replica that it is sent to
  * @returns whether the send may be made
  */
-export function usePermitOf (context: RouterContext, request: RequestState, belief: ReplicaBelief): boolean {
+export function usePermitOf (context: RouterContext, request: RequestState, view: ReplicaBelief): boolean {
   const { permit } = request
-  if (permit === undefined || permit.processName !== nameProcess(belief.replica)) return takePermit(context, belief)
-  if (context.nowMs - permit.takenAtMs >= CARRIED_MS) {
+  if (permit === undefined || permit.processName !== nameProcess(view.replica)) return takePermit(context, view)
+  if (context.nowMs - permit.takenAtMs >= RUN_PERMIT_TTL_MS) {
     leavePermit(context, request)
-    return takePermit(context, belief)
+    return takePermit(context, view)
   }
   request.permit = undefined
   return true
--- a/packages/bendfall-router/src/entry/BendfallRouterPlain.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterPlain.ts
@@ -27,20 +27,20 @@
 const REFUSED_RETRY_MS = 500
 
 /** Candidates among which the best is chosen; with more, all entries would choose the same replica. */
-const CANDIDATES = 6
+const MAX_CANDIDATES = 6
 
 /** Extra expected latency, as a share and as a constant, that is accepted for a replica with an available permit. */
-const PERMIT_WORTH_SHARE = 0.3
-const PERMIT_WORTH_MS = 20
+const PERMIT_PREFERENCE_SHARE = 0.3
+const PERMIT_PREFERENCE_MS = 20
 
 /** Assumed latency of a replica before the first measurement. */
-const FIRST_LATENCY_MS = 40
+const INITIAL_LATENCY_MS = 40
 
 /** Timeout of a repeatable send, as a multiple of the mean latency of the replica. */
-const TRY_TIMEOUT_MEANS = 6
+const TRY_TIMEOUT_FACTOR = 6
 
 /** Lower bound of that timeout: twice the latency target of the users' fastest calls. */
-const SHORTEST_TRY_TIMEOUT_MS = 300
+const MIN_TRY_TIMEOUT_MS = 300
 
 /**
  * Sends a call to the replica with the lowest expected latency.
@@ -51,12 +51,12 @@
  */
 export function startPlain (context: RouterContext, request: RequestState): NextStep {
   wantPermits(context, request, stageFor(request))
-  const belief = chooseReplica(context, request)
-  if (belief === undefined) return withoutReplica(context, request)
-  const { address, replicaId } = belief.replica
-  const payment = paySend(context, request, belief)
+  const view = chooseReplica(context, request)
+  if (view === undefined) return handleNoReplica(context, request)
+  const { address, replicaId } = view.replica
+  const payment = paySend(context, request, view)
   if (payment === 'closed' || payment === 'unpaid') return refuseUnpaid(request)
-  noteSent(context, request, belief, 'plain')
+  noteSent(context, request, view, 'plain')
   sendRun(context, request, payment, {
     key: request.key,
     attempt: request.attempt,
@@ -65,17 +65,17 @@
     deadlineMs: remainingMs(context, request),
     lastEventId: request.lastEventId,
     isStream: request.route.kind === 'streaming',
-    tryTimeoutMs: tryTimeoutOf(request, belief)
-  }, { replica: replicaId, inFlight: belief.inFlight, registrationsAgeMs: registrationsAgeMs(context), latencyMs: Math.round(belief.latencyMs), failureShare: round(belief.failureShare), attempt: request.attempt })
+    tryTimeoutMs: tryTimeoutMsOf(request, view)
+  }, { replica: replicaId, inFlight: view.inFlight, registrationsAgeMs: registrationsAgeMs(context), latencyMs: Math.round(view.latencyMs), failureShare: round(view.failureShare), attempt: request.attempt })
   return undefined
 }
 
 // Without another replica, a retry would discard a response that is already available.
-function hasOther (context: RouterContext, request: RequestState): boolean {
+function hasOtherReplica (context: RouterContext, request: RequestState): boolean {
   return usableReplicas(context, request, stageFor(request)).some(({ replica }) => replica.replicaId !== request.runAt)
 }
 
-function withoutReplica (context: RouterContext, request: RequestState): NextStep {
+function handleNoReplica (context: RouterContext, request: RequestState): NextStep {
   const stage = stageFor(request)
   const limited = awaitPermit(context, request, stage, 'plain')
   if (limited !== undefined) return limited.next
@@ -96,12 +96,12 @@
  * @returns the next step
  */
 export function takePlainAnswer (context: RouterContext, request: RequestState, event: RouterEventOf<'answer_complete'>): NextStep {
-  const belief = context.state.replicas.get(request.runAt ?? '')
+  const view = context.state.replicas.get(request.runAt ?? '')
   const isFailure = event.status >= 500
-  if (belief !== undefined && isFailure) noteFailure(belief, context.nowMs)
-  if (belief !== undefined) noteAnswered(belief, request)
-  if (belief !== undefined && !isFailure) noteSuccess(belief, context.nowMs - (request.runSentAtMs ?? context.nowMs))
-  if (isFailure && !request.isCommitted && hasOther(context, request) && takeRetry(context, request, 'unknown')) return sendElsewhere(context, request, 'failed_answer')
+  if (view !== undefined && isFailure) noteFailure(view, context.nowMs)
+  if (view !== undefined) noteAnswered(view, request)
+  if (view !== undefined && !isFailure) noteSuccess(view, context.nowMs - (request.runSentAtMs ?? context.nowMs))
+  if (isFailure && !request.isCommitted && hasOtherReplica(context, request) && takeRetry(context, request, 'unknown')) return retryElsewhere(context, request, 'failed_answer')
   const replica = request.runAt
   leaveRun(context, request)
   context.effects.push({ type: 'deliver', key: request.key })
@@ -118,19 +118,19 @@
  * @returns the next step
  */
 export function takePlainFailure (context: RouterContext, request: RequestState, failure: SendFailure): NextStep {
-  const belief = context.state.replicas.get(request.runAt ?? '')
+  const view = context.state.replicas.get(request.runAt ?? '')
   if (failure === 'connection_lost') noteConnectionLost(context, request)
-  if (belief !== undefined) noteFailure(belief, context.nowMs, failure)
+  if (view !== undefined) noteFailure(view, context.nowMs, failure)
   noteUnanswered(context, request)
   noteSendFailed(context, request, failure)
   if (request.isCommitted) return { type: 'cut', reason: 'replica_failed' }
   if (hasNotRun(failure)) request.runs -= 1
-  if (takeRetry(context, request, failure)) return sendElsewhere(context, request, failure)
+  if (takeRetry(context, request, failure)) return retryElsewhere(context, request, failure)
   if (hasNotRun(failure) && request.runs === 0) return { type: 'refuse', status: 503, reason: 'replica_refused', retryAfterMs: REFUSED_RETRY_MS }
   return { type: 'refuse', status: 502, reason: 'replica_failed' }
 }
 
-function sendElsewhere (context: RouterContext, request: RequestState, cause: string): NextStep {
+function retryElsewhere (context: RouterContext, request: RequestState, cause: string): NextStep {
   logDecision(context, request, 'retried', { cause, replica: request.runAt, attempt: request.attempt })
   if (request.runAt !== undefined) request.excluded.add(request.runAt)
   context.effects.push({ type: 'abort_send', key: request.key })
@@ -139,38 +139,38 @@
 }
 
 function chooseReplica (context: RouterContext, request: RequestState): ReplicaBelief | undefined {
-  const usable = sample(context, usableReplicas(context, request, stageFor(request)))
+  const usable = sampleCandidates(context, usableReplicas(context, request, stageFor(request)))
   let best: ReplicaBelief | undefined
   let bestMs = Infinity
-  for (const belief of usable) {
-    const expectedMs = expectedLatencyMs(belief) - permitWorthMs(context, belief)
+  for (const view of usable) {
+    const expectedMs = expectedLatencyMs(view) - permitPreferenceMs(context, view)
     if (expectedMs >= bestMs || (best !== undefined && context.state.decisions.replica === 'random')) continue
-    best = belief
+    best = view
     bestMs = expectedMs
   }
   return best
 }
 
 // Starts at a random index, so that replicas with equal latency share the load.
-function sample (context: RouterContext, beliefs: ReplicaBelief[]): ReplicaBelief[] {
-  const start = Math.floor(draw(context.state) * beliefs.length)
-  return [...beliefs.slice(start), ...beliefs.slice(0, start)].slice(0, CANDIDATES)
+function sampleCandidates (context: RouterContext, views: ReplicaBelief[]): ReplicaBelief[] {
+  const start = Math.floor(draw(context.state) * views.length)
+  return [...views.slice(start), ...views.slice(0, start)].slice(0, MAX_CANDIDATES)
 }
 
 // Grows with the queue length and with the failure rate, since each failure costs another attempt.
 function expectedLatencyMs ({ failureShare, inFlight, latencyMs, replica }: ReplicaBelief): number {
-  const meanMs = latencyMs === 0 ? FIRST_LATENCY_MS : latencyMs
+  const meanMs = latencyMs === 0 ? INITIAL_LATENCY_MS : latencyMs
   return meanMs * (1 + inFlight / Math.max(1, replica.slots)) / (1 - Math.min(0.9, failureShare)) ** 2
 }
 
 // Permits expire soon. Spending one leaves the replicas without a limit to requests that have no permit.
-function permitWorthMs ({ state }: RouterContext, belief: ReplicaBelief): number {
-  return limitOf(state, belief.replica) === undefined ? 0 : PERMIT_WORTH_SHARE * expectedLatencyMs(belief) + PERMIT_WORTH_MS
+function permitPreferenceMs ({ state }: RouterContext, view: ReplicaBelief): number {
+  return limitOf(state, view.replica) === undefined ? 0 : PERMIT_PREFERENCE_SHARE * expectedLatencyMs(view) + PERMIT_PREFERENCE_MS
 }
 
-function tryTimeoutOf (request: RequestState, belief: ReplicaBelief): number | undefined {
+function tryTimeoutMsOf (request: RequestState, view: ReplicaBelief): number | undefined {
   if (!mayRunAgain(request) || request.runs >= request.route.maxAttempts) return undefined
-  return Math.max(SHORTEST_TRY_TIMEOUT_MS, TRY_TIMEOUT_MEANS * belief.latencyMs)
+  return Math.max(MIN_TRY_TIMEOUT_MS, TRY_TIMEOUT_FACTOR * view.latencyMs)
 }
 
 function round (share: number): number {
--- a/packages/bendfall-router/src/entry/BendfallRouterPools.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterPools.ts
@@ -16,41 +16,41 @@
 import type { ObservedWork, PoolOrder, ReplicaBelief } from './BendfallRouterState.js'
 
 /** Weight of the newest sample in the moving average: at two samples a second it covers the last twelve seconds, longer than a burst lasts. */
-const WORK_WEIGHT = 0.04
+const SAMPLE_WEIGHT = 0.04
 
 /**
  * Minimum time that the load is observed before a change, both after a takeover of the lease and
  * after the previous change. A shorter observation may cover only a burst, and the next one would
  * then revert the change.
  */
-const LEAST_OBSERVED_MS = 8_000
+const MIN_OBSERVED_MS = 8_000
 
 /** Replicas whose load is requested in one round: 24 calls a second, whatever the size of the fleet. */
-const ASKED_AT_ONCE = 12
+const MAX_LOAD_REQUESTS = 12
 
 /** Minimum time before a change may be reverted, since each change makes a replica unavailable for seconds. */
-const LEAST_KEPT_MS = 20_000
+const MIN_REVERT_MS = 20_000
 
 /** Interval at which the load of a replica is requested; the average covers twelve seconds. */
-const ASK_AGAIN_MS = 450
+const LOAD_INTERVAL_MS = 450
 
 /** Maximum age of a load that counts as a sample; one round over 84 replicas takes 3.5 s. */
-const MEASURED_MS = 5_000
+const MAX_LOAD_AGE_MS = 5_000
 
 /** Share of the replicas whose load must be known before pools change; a dozen replicas are always enough. */
-const LEAST_MEASURED_SHARE = 0.5
+const MIN_MEASURED_SHARE = 0.5
 
 /** Time after a completed change until its effect on the load is visible. */
 const SETTLE_MS = 4_000
 
 /** Duration of a change when the configuration does not specify it. */
-const FIRST_SWITCH_MS = 6_000
+const DEFAULT_SWITCH_MS = 6_000
 
 /** Time after a refused order until another one may be sent. */
-const REFUSED_ORDER_MS = 1_000
+const REFUSED_ORDER_RETRY_MS = 1_000
 
 /** Time within which an order whose response was lost may still be carried out. */
-const LATE_ORDER_MS = 12_000
+const UNKNOWN_ORDER_MS = 12_000
 
 /**
  * Samples the load of each service and orders the stage changes that balance its pools.
@@ -73,49 +73,49 @@
 
 function balanceService (context: RouterContext, service: string, switchMs: number, fence: number, intent: PoolIntent): void {
   const { nowMs, state } = context
-  const beliefs = [...state.replicas.values()].filter(({ replica }) => replica.service === service && replica.stage !== 'plain')
-  askSome(context, beliefs)
-  const measured = beliefs.filter(({ load, loadAtMs }) => load !== undefined && nowMs - loadAtMs < MEASURED_MS)
-  const observed = observe(context, service, beliefs, measured)
-  if (!areEnoughMeasured(context, beliefs, measured)) return
-  const changes = chooseChanges(context, service, beliefs, observed, intent)
+  const views = [...state.replicas.values()].filter(({ replica }) => replica.service === service && replica.stage !== 'plain')
+  requestOldestLoads(context, views)
+  const measured = views.filter(({ load, loadAtMs }) => load !== undefined && nowMs - loadAtMs < MAX_LOAD_AGE_MS)
+  const observed = updateObservedWork(context, service, views, measured)
+  if (!hasEnoughLoads(context, views, measured)) return
+  const changes = chooseChanges(context, service, views, observed, intent)
   const [first] = changes
   if (first === undefined) return
-  for (const change of changes) order(context, change.replicaId, change.stage, fence, observed)
-  const settledAtMs = nowMs + (switchMs === 0 ? FIRST_SWITCH_MS : switchMs) + SETTLE_MS
+  for (const change of changes) orderStage(context, change.replicaId, change.stage, fence, observed)
+  const settledAtMs = nowMs + (switchMs === 0 ? DEFAULT_SWITCH_MS : switchMs) + SETTLE_MS
   state.poolOrders.set(service, { replicaIds: changes.map(({ replicaId }) => replicaId), stage: first.stage, orderedAtMs: nowMs, settledAtMs })
   state.poolWork.delete(service)
 }
 
 // Ignores replicas that are leaving, since their ledgers may terminate before them.
-function areEnoughMeasured ({ state }: RouterContext, beliefs: readonly ReplicaBelief[], measured: readonly ReplicaBelief[]): boolean {
-  const staying = beliefs.filter((belief) => !isLeaving(state, belief)).length
-  const known = measured.filter((belief) => !isLeaving(state, belief)).length
-  return staying > 0 && (known >= staying * LEAST_MEASURED_SHARE || known >= ASKED_AT_ONCE)
+function hasEnoughLoads ({ state }: RouterContext, views: readonly ReplicaBelief[], measured: readonly ReplicaBelief[]): boolean {
+  const staying = views.filter((view) => !isLeaving(state, view)).length
+  const known = measured.filter((view) => !isLeaving(state, view)).length
+  return staying > 0 && (known >= staying * MIN_MEASURED_SHARE || known >= MAX_LOAD_REQUESTS)
 }
 
 // An empty pool is refilled without waiting for load samples or for a change of the other pool to settle.
-function chooseChanges (context: RouterContext, service: string, beliefs: readonly ReplicaBelief[], observed: ObservedWork, intent: PoolIntent): StageChange[] {
-  const members = beliefs.map((belief) => toMember(context, belief))
-  const former = context.state.poolOrders.get(service)
-  const isSettling = former !== undefined && context.nowMs < former.settledAtMs && !hasLostOrders(context, former)
+function chooseChanges (context: RouterContext, service: string, views: readonly ReplicaBelief[], observed: ObservedWork, intent: PoolIntent): StageChange[] {
+  const members = views.map((view) => toMember(context, view))
+  const previous = context.state.poolOrders.get(service)
+  const isSettling = previous !== undefined && context.nowMs < previous.settledAtMs && !isOrderLost(context, previous)
   const refills = refillPools(members)
-  if (isSettling) return refills.filter(({ stage }) => stage !== former.stage)
-  return refills.length > 0 ? refills : balanceWork(context, members, observed, intent, former)
+  if (isSettling) return refills.filter(({ stage }) => stage !== previous.stage)
+  return refills.length > 0 ? refills : balanceWork(context, members, observed, intent, previous)
 }
 
-function balanceWork ({ nowMs }: RouterContext, members: readonly PoolMember[], { sinceMs, work }: ObservedWork, intent: PoolIntent, former: PoolOrder | undefined): StageChange[] {
-  if (!isIdle(work) && nowMs - sinceMs < LEAST_OBSERVED_MS) return []
+function balanceWork ({ nowMs }: RouterContext, members: readonly PoolMember[], { sinceMs, work }: ObservedWork, intent: PoolIntent, previous: PoolOrder | undefined): StageChange[] {
+  if (!isIdle(work) && nowMs - sinceMs < MIN_OBSERVED_MS) return []
   const changes = balancePools(members, work, intent)
-  const isKept = former !== undefined && nowMs < former.orderedAtMs + LEAST_KEPT_MS
-  return isKept ? changes.filter(({ stage }) => stage === former.stage) : changes
+  const isKept = previous !== undefined && nowMs < previous.orderedAtMs + MIN_REVERT_MS
+  return isKept ? changes.filter(({ stage }) => stage === previous.stage) : changes
 }
 
 // Requests the loads that are oldest. A sample of a large fleet describes its pools as well as the
 // whole fleet does, and polling all of 1,200 replicas would need an instance of its own.
-function askSome ({ effects, nowMs }: RouterContext, beliefs: readonly ReplicaBelief[]): void {
-  const due = beliefs.filter(({ ledgerDownUntilMs, loadAtMs }) => ledgerDownUntilMs <= nowMs && nowMs - loadAtMs >= ASK_AGAIN_MS)
-  const oldest = due.sort((a, b) => a.loadAtMs - b.loadAtMs).slice(0, ASKED_AT_ONCE)
+function requestOldestLoads ({ effects, nowMs }: RouterContext, views: readonly ReplicaBelief[]): void {
+  const due = views.filter(({ ledgerDownUntilMs, loadAtMs }) => ledgerDownUntilMs <= nowMs && nowMs - loadAtMs >= LOAD_INTERVAL_MS)
+  const oldest = due.sort((a, b) => a.loadAtMs - b.loadAtMs).slice(0, MAX_LOAD_REQUESTS)
   if (oldest.length > 0) effects.push({ type: 'ask_loads', replicaIds: oldest.map(({ replica }) => replica.replicaId) })
 }
 
@@ -126,62 +126,62 @@
  * @param event - outcome of the order at its replica
  */
 export function takeOrderAnswer (context: RouterContext, event: RouterEventOf<'order_answered'>): void {
-  const belief = context.state.replicas.get(event.replicaId)
+  const view = context.state.replicas.get(event.replicaId)
   context.effects.push({ type: 'log', decision: 'order_answered', requestId: '', inputs: { replica: event.replicaId, outcome: event.outcome } })
-  const former = context.state.poolOrders.get(belief?.replica.service ?? '')
-  if (former === undefined) return
-  if (event.outcome === 'unknown') former.settledAtMs = context.nowMs + LATE_ORDER_MS
-  if (event.outcome === 'refused') former.settledAtMs = Math.min(former.settledAtMs, context.nowMs + REFUSED_ORDER_MS)
+  const previous = context.state.poolOrders.get(view?.replica.service ?? '')
+  if (previous === undefined) return
+  if (event.outcome === 'unknown') previous.settledAtMs = context.nowMs + UNKNOWN_ORDER_MS
+  if (event.outcome === 'refused') previous.settledAtMs = Math.min(previous.settledAtMs, context.nowMs + REFUSED_ORDER_RETRY_MS)
 }
 
 // A replica that is draining or gone will not carry out its order. Waiting for it left a pool empty
 // for 13 s on a day when the only prefill replica was replaced.
-function hasLostOrders ({ state }: RouterContext, { replicaIds }: PoolOrder): boolean {
+function isOrderLost ({ state }: RouterContext, { replicaIds }: PoolOrder): boolean {
   return replicaIds.every((replicaId) => state.replicas.get(replicaId)?.replica.isDraining !== false)
 }
 
-function order (context: RouterContext, replicaId: string, stage: 'prefill' | 'decode' | 'plain', fence: number, { readings, work }: ObservedWork): void {
-  const belief = context.state.replicas.get(replicaId)
-  if (belief === undefined || !takePermit(context, belief)) return
-  context.effects.push({ type: 'order_stage', replicaId, address: belief.replica.address, stage, fence })
+function orderStage (context: RouterContext, replicaId: string, stage: 'prefill' | 'decode' | 'plain', fence: number, { readings, work }: ObservedWork): void {
+  const view = context.state.replicas.get(replicaId)
+  if (view === undefined || !takePermit(context, view)) return
+  context.effects.push({ type: 'order_stage', replicaId, address: view.replica.address, stage, fence })
   context.effects.push({ type: 'log', decision: 'stage_ordered', requestId: '', inputs: { replica: replicaId, stage, fence, prefillWork: round(work.prefill), decodeWork: round(work.decode), readings } })
 }
 
-function toMember (context: RouterContext, belief: ReplicaBelief): PoolMember {
+function toMember (context: RouterContext, view: ReplicaBelief): PoolMember {
   const { nowMs, state } = context
-  const { load, replica, suspectUntilMs } = belief
+  const { load, replica, suspectUntilMs } = view
   return {
     replicaId: replica.replicaId,
     availabilityZone: replica.availabilityZone,
-    stage: stageOf(belief),
+    stage: stageOf(view),
     // A replica whose load is not known yet counts as serving.
-    isServing: load?.isHealthy !== false && isOpen(context, belief) && suspectUntilMs <= nowMs,
-    isLeaving: isLeaving(state, belief)
+    isServing: load?.isHealthy !== false && isOpen(context, view) && suspectUntilMs <= nowMs,
+    isLeaving: isLeaving(state, view)
   }
 }
 
 // Extrapolates the mean of the measured replicas to the whole pool. During the first twelve seconds
 // all samples have equal weight, so that the first one does not dominate.
-function observe ({ nowMs, state }: RouterContext, service: string, beliefs: readonly ReplicaBelief[], measured: readonly ReplicaBelief[]): ObservedWork {
-  const now = { prefill: meanWork(measured, 'prefill') * countOf(beliefs, 'prefill'), decode: meanWork(measured, 'decode') * countOf(beliefs, 'decode') }
-  const former = state.poolWork.get(service) ?? { work: now, sinceMs: nowMs, readings: 0 }
-  const readings = former.readings + 1
-  const weight = Math.max(WORK_WEIGHT, 1 / readings)
+function updateObservedWork ({ nowMs, state }: RouterContext, service: string, views: readonly ReplicaBelief[], measured: readonly ReplicaBelief[]): ObservedWork {
+  const current = { prefill: meanWork(measured, 'prefill') * countOf(views, 'prefill'), decode: meanWork(measured, 'decode') * countOf(views, 'decode') }
+  const previous = state.poolWork.get(service) ?? { work: current, sinceMs: nowMs, readings: 0 }
+  const readings = previous.readings + 1
+  const weight = Math.max(SAMPLE_WEIGHT, 1 / readings)
   const work = {
-    prefill: former.work.prefill + weight * (now.prefill - former.work.prefill),
-    decode: former.work.decode + weight * (now.decode - former.work.decode)
+    prefill: previous.work.prefill + weight * (current.prefill - previous.work.prefill),
+    decode: previous.work.decode + weight * (current.decode - previous.work.decode)
   }
-  const observed = { work, sinceMs: former.sinceMs, readings }
+  const observed = { work, sinceMs: previous.sinceMs, readings }
   state.poolWork.set(service, observed)
   return observed
 }
 
-function countOf (beliefs: readonly ReplicaBelief[], stage: ReplicaStage): number {
-  return beliefs.filter((belief) => stageOf(belief) === stage).length
+function countOf (views: readonly ReplicaBelief[], stage: ReplicaStage): number {
+  return views.filter((view) => stageOf(view) === stage).length
 }
 
 function meanWork (measured: readonly ReplicaBelief[], stage: ReplicaStage): number {
-  const works = measured.filter((belief) => stageOf(belief) === stage).map(({ load }) => load === undefined ? 0 : workOf(load, stage))
+  const works = measured.filter((view) => stageOf(view) === stage).map(({ load }) => load === undefined ? 0 : workOf(load, stage))
   return works.length === 0 ? 0 : works.reduce((sum, work) => sum + work, 0) / works.length
 }
 
--- a/packages/bendfall-router/src/entry/BendfallRouterPrefill.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterPrefill.ts
@@ -22,10 +22,10 @@
 const SPEED_WEIGHT = 0.05
 
 /** Weight of the newest prefill in a replica's time factor; replicas of one service differ by a third. */
-const PACE_WEIGHT = 0.1
+const TIME_FACTOR_WEIGHT = 0.1
 
 /** Maximum ratio between actual and expected duration, in either direction, that one prefill contributes. */
-const MOST_OFF = 3
+const MAX_TIME_RATIO = 3
 
 /** Timeout of a prefill, as a multiple of its expected duration; 99 of 100 prefills on busy replicas took less. */
 const TIMEOUT_FACTOR = 2.5
@@ -49,23 +49,23 @@
     request.reading = 'in_place_only'
     return { type: 'run' }
   }
-  const { belief, leadMs } = plan
-  const payment = paySend(context, request, belief)
+  const { belief: view, leadMs } = plan
+  const payment = paySend(context, request, view)
   if (payment === 'closed' || payment === 'unpaid') return refuseUnpaid(request)
-  const { address, replicaId } = belief.replica
+  const { address, replicaId } = view.replica
   request.phase = 'prefill'
   request.attempt += 1
   request.sends += 1
   request.prefillAt = replicaId
-  request.sentTo = { replicaId, startedAtMs: belief.replica.startedAtMs }
+  request.sentTo = { replicaId, startedAtMs: view.replica.startedAtMs }
   request.prefillSentAtMs = context.nowMs
   request.answersSinceMs = undefined
   const promptTokens = request.prompt?.promptTokens ?? 0
-  request.isPrefillAlone = backlogOf(belief) === 0
+  request.isPrefillAlone = backlogOf(view) === 0
   request.prefillLeadMs = leadMs
-  request.prefillBookingId = takePrefillSlot(context, request, replicaId) ?? `${request.requestId}/${request.attempt}`
-  belief.prefillTokens += promptTokens
-  belief.prefillSinceLoad += promptTokens
+  request.prefillBookingId = claimPrefillSlot(context, request, replicaId) ?? `${request.requestId}/${request.attempt}`
+  view.prefillTokens += promptTokens
+  view.prefillSinceLoad += promptTokens
   context.effects.push({ type: 'announce_prefill', replicaId, bookingId: request.prefillBookingId, promptTokens })
   sendPrefill(context, request, payment, {
     key: request.key,
@@ -74,7 +74,7 @@
     address,
     deadlineMs: remainingMs(context, request),
     tryTimeoutMs: leadMs * TIMEOUT_FACTOR + TIMEOUT_EXTRA_MS
-  }, { replica: replicaId, leadMs: Math.round(leadMs), backlogTokens: backlogOf(belief) - promptTokens, registrationsAgeMs: registrationsAgeMs(context), attempt: request.attempt })
+  }, { replica: replicaId, leadMs: Math.round(leadMs), backlogTokens: backlogOf(view) - promptTokens, registrationsAgeMs: registrationsAgeMs(context), attempt: request.attempt })
   return undefined
 }
 
@@ -89,15 +89,15 @@
  */
 export function takePrefillAnswer (context: RouterContext, request: RequestState, outcome: PrefillOutcome, handleTtlMs: number): NextStep {
   const replicaId = request.prefillAt ?? ''
-  const belief = context.state.replicas.get(replicaId)
+  const view = context.state.replicas.get(replicaId)
   if (outcome.type === 'failed') return takePrefillFailure(context, request, outcome.failure)
   noteRead(context, request)
   const tookMs = context.nowMs - (request.prefillSentAtMs ?? context.nowMs)
-  if (belief !== undefined) {
+  if (view !== undefined) {
     learnSpeed(context, request, tookMs)
-    learnPace(belief, tookMs, request.prefillLeadMs)
-    noteSuccess(belief)
-    request.handle = { replicaId, startedAtMs: belief.replica.startedAtMs, address: belief.replica.address, handle: outcome.handle, expiresAtMs: madeAtMs(context) + handleTtlMs }
+    learnTimeFactor(view, tookMs, request.prefillLeadMs)
+    noteSuccess(view)
+    request.handle = { replicaId, startedAtMs: view.replica.startedAtMs, address: view.replica.address, handle: outcome.handle, expiresAtMs: earliestReadyAtMs(context) + handleTtlMs }
   }
   leavePrefill(context, request)
   logDecision(context, request, 'prefill_done', { replica: replicaId, tookMs: Math.round(tookMs) })
@@ -115,9 +115,9 @@
  */
 export function takePrefillFailure (context: RouterContext, request: RequestState, failure: SendFailure): NextStep {
   const replicaId = request.prefillAt ?? ''
-  const belief = context.state.replicas.get(replicaId)
+  const view = context.state.replicas.get(replicaId)
   if (failure === 'connection_lost') noteConnectionLost(context, request)
-  if (belief !== undefined) noteFailure(belief, context.nowMs, failure)
+  if (view !== undefined) noteFailure(view, context.nowMs, failure)
   request.excluded.add(replicaId)
   leavePrefill(context, request)
   noteSendFailed(context, request, failure)
@@ -134,12 +134,12 @@
 
 // Ticks are events too, so a longer gap means that this process was paused and that the response may
 // have been waiting for the whole gap.
-function madeAtMs ({ nowMs, sinceLastEventMs }: RouterContext): number {
+function earliestReadyAtMs ({ nowMs, sinceLastEventMs }: RouterContext): number {
   return sinceLastEventMs > TICK_MS ? nowMs - sinceLastEventMs : nowMs
 }
 
 // A slot at the chosen replica becomes the booking of the prompt; any other slot is released.
-function takePrefillSlot (context: RouterContext, request: RequestState, replicaId: string): string | undefined {
+function claimPrefillSlot (context: RouterContext, request: RequestState, replicaId: string): string | undefined {
   const { prefillSlot } = request
   if (prefillSlot?.replicaId !== replicaId) {
     leavePrefillSlot(context, request)
@@ -149,10 +149,10 @@
   return prefillSlot.bookingId
 }
 
-function learnPace (belief: ReplicaBelief, tookMs: number, leadMs: number | undefined): void {
+function learnTimeFactor (view: ReplicaBelief, tookMs: number, leadMs: number | undefined): void {
   if (leadMs === undefined || leadMs <= 0) return
-  const pace = belief.prefillPace * Math.min(MOST_OFF, Math.max(1 / MOST_OFF, tookMs / leadMs))
-  belief.prefillPace += PACE_WEIGHT * (pace - belief.prefillPace)
+  const timeFactor = view.prefillPace * Math.min(MAX_TIME_RATIO, Math.max(1 / MAX_TIME_RATIO, tookMs / leadMs))
+  view.prefillPace += TIME_FACTOR_WEIGHT * (timeFactor - view.prefillPace)
 }
 
 // Only a prefill that had the replica to itself yields a valid speed sample.
--- a/packages/bendfall-router/src/entry/BendfallRouterPrefillPlan.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterPrefillPlan.ts
@@ -17,7 +17,7 @@
 }
 
 /** Cost added for a replica in another availability zone than the decode replica: the transfer takes twice as long and is more expensive. */
-const OTHER_ZONE_MS = 30
+const CROSS_ZONE_COST_MS = 30
 
 /** Fixed time of a prefill; a linear fit over 323 prompts processed one at a time has an intercept of 63 to 86 ms. */
 export const PREFILL_CALL_MS = 75
@@ -37,11 +37,11 @@
   let best: PrefillPlan | undefined
   let bestMs = Infinity
   for (let i = 0; i < usable.length; i++) {
-    const belief = usable[(start + i) % usable.length] as ReplicaBelief
-    const leadMs = leadOf(context, request, belief)
-    const costMs = leadMs + (availabilityZone === undefined || context.state.decisions.zones === 'any' || belief.replica.availabilityZone === availabilityZone ? 0 : OTHER_ZONE_MS)
+    const view = usable[(start + i) % usable.length] as ReplicaBelief
+    const leadMs = predictLeadMs(context, request, view)
+    const costMs = leadMs + (availabilityZone === undefined || context.state.decisions.zones === 'any' || view.replica.availabilityZone === availabilityZone ? 0 : CROSS_ZONE_COST_MS)
     if (costMs >= bestMs || (best !== undefined && context.state.decisions.replica === 'random')) continue
-    best = { belief, leadMs }
+    best = { belief: view, leadMs }
     bestMs = costMs
   }
   return best
@@ -55,12 +55,12 @@
  * @param view - replica that would process the prompt
  * @returns milliseconds
  */
-export function ownLeadMs ({ state }: RouterContext, request: RequestState, belief: ReplicaBelief): number {
-  return ((request.prompt?.promptTokens ?? 0) * state.prefillMsPerToken + PREFILL_CALL_MS) * belief.prefillPace
+export function ownLeadMs ({ state }: RouterContext, request: RequestState, view: ReplicaBelief): number {
+  return ((request.prompt?.promptTokens ?? 0) * state.prefillMsPerToken + PREFILL_CALL_MS) * view.prefillPace
 }
 
-function leadOf (context: RouterContext, request: RequestState, belief: ReplicaBelief): number {
-  return ownLeadMs(context, request, belief) + backlogOf(belief) * context.state.prefillMsPerToken * belief.prefillPace
+function predictLeadMs (context: RouterContext, request: RequestState, view: ReplicaBelief): number {
+  return ownLeadMs(context, request, view) + backlogOf(view) * context.state.prefillMsPerToken * view.prefillPace
 }
 
 /**
--- a/packages/bendfall-router/src/entry/BendfallRouterPrefillQueue.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterPrefillQueue.ts
@@ -20,10 +20,10 @@
 import type { RequestState } from './BendfallRouterRequest.js'
 
 /** `Retry-After` while most runs are refused; recent refusals have decayed to half their weight by then. */
-const REFUSING_RETRY_MS = 2_000
+const MOSTLY_REFUSED_RETRY_MS = 2_000
 
 /** Backlog below which a prompt is sent without a queue slot: less than one prompt. */
-const FREE_BACKLOG_TOKENS = 3_000
+const NO_QUEUE_BACKLOG_TOKENS = 3_000
 
 /**
  * Requests a slot in the queue of the prefill replica that is expected to finish first.
@@ -41,23 +41,23 @@
   const refused = refuseBackoff(context, request, 'decode')
   if (refused !== undefined) return refused
   request.reading = chooseReading(context, request)
-  if (request.reading === 'apart' && !coverRuns(context, request)) return avoidReading(context, request)
+  if (request.reading === 'apart' && !coverRuns(context, request)) return avoidWastedPrefill(context, request)
   const plan = planPrefill(context, request)
   if (plan === undefined) return { type: 'reserve' }
   if (context.state.decisions.prefillSlots === 'none') return { type: 'reserve' }
-  const { belief } = plan
-  const backlogTokens = backlogOf(belief)
-  if (backlogTokens < FREE_BACKLOG_TOKENS || belief.ledgerDownUntilMs > context.nowMs) return { type: 'reserve' }
-  const leadMs = ownLeadMs(context, request, belief)
+  const { belief: view } = plan
+  const backlogTokens = backlogOf(view)
+  if (backlogTokens < NO_QUEUE_BACKLOG_TOKENS || view.ledgerDownUntilMs > context.nowMs) return { type: 'reserve' }
+  const leadMs = ownLeadMs(context, request, view)
   const maxWaitMs = longestWaitMs(context, request, leadMs)
   if (maxWaitMs <= 0) return { type: 'reserve' }
-  const { replicaId } = belief.replica
+  const { replicaId } = view.replica
   const promptTokens = request.prompt?.promptTokens ?? 0
   request.phase = 'queue'
   request.attempt += 1
   request.prefillSlot = { replicaId, bookingId: `${request.requestId}/${request.attempt}` }
-  belief.prefillSinceLoad += promptTokens
-  logDecision(context, request, 'prefill_queued', { replica: replicaId, backlogTokens, loadAgeMs: Math.round(context.nowMs - belief.loadAtMs), maxWaitMs: Math.round(maxWaitMs) })
+  view.prefillSinceLoad += promptTokens
+  logDecision(context, request, 'prefill_queued', { replica: replicaId, backlogTokens, loadAgeMs: Math.round(context.nowMs - view.loadAtMs), maxWaitMs: Math.round(maxWaitMs) })
   context.effects.push({
     type: 'queue_prefill',
     key: request.key,
@@ -74,10 +74,10 @@
 
 // A decode replica that processes the prompt itself refuses a run before any work on the prompt, so a
 // refusal wastes no prefill.
-function avoidReading (context: RouterContext, request: RequestState): NextStep {
+function avoidWastedPrefill (context: RouterContext, request: RequestState): NextStep {
   logDecision(context, request, 'reading_avoided', { refusedShare: refusedShare(context, request.service) })
-  const canRead = !request.isReadingRefused && knownReplicas(context, request, 'decode').some((belief) => canReadNow(belief, request))
-  if (!canRead) return { type: 'refuse', status: request.runs > 0 ? 502 : 503, reason: 'replica_refused', retryAfterMs: REFUSING_RETRY_MS }
+  const canPrefillInPlace = !request.isReadingRefused && knownReplicas(context, request, 'decode').some((view) => canReadNow(view, request))
+  if (!canPrefillInPlace) return { type: 'refuse', status: request.runs > 0 ? 502 : 503, reason: 'replica_refused', retryAfterMs: MOSTLY_REFUSED_RETRY_MS }
   request.reading = 'in_place'
   return { type: 'reserve' }
 }
@@ -100,7 +100,7 @@
     return { type: 'queue' }
   }
   if (outcome.type === 'refused') return refuseMemory(context, request, outcome.retryAfterMs, 'prefill_busy')
-  const belief = context.state.replicas.get(replicaId)
-  if (belief !== undefined) noteLedgerLost(belief, context.nowMs)
+  const view = context.state.replicas.get(replicaId)
+  if (view !== undefined) noteLedgerLost(view, context.nowMs)
   return { type: 'reserve' }
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterReading.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterReading.ts
@@ -3,7 +3,7 @@
  * place it runs at half the speed, interleaved with the steps of other requests, but needs no KV
  * transfer. It slows those requests down, so it is used only when the wait for a prefill replica
  * would take longer. With one prefill replica out of six, on a day with bursts, this raised the
- * total worth from 0.409 to 0.759.
+ * worth from 0.409 to 0.759.
  *
  * @module
  */
@@ -33,7 +33,7 @@
   if (decisions.read === 'in_place') return 'in_place_only'
   if (decisions.read === 'apart' || request.isReadingRefused) return 'apart'
   if (plan.leadMs <= readInPlaceMs(context.state, request)) return 'apart'
-  return knownReplicas(context, request, 'decode').some((belief) => canReadNow(belief, request)) ? 'in_place' : 'apart'
+  return knownReplicas(context, request, 'decode').some((view) => canReadNow(view, request)) ? 'in_place' : 'apart'
 }
 
 /**
@@ -54,9 +54,9 @@
  * @param request - request with the prompt
  * @returns true if the replica can start the prefill at once
  */
-export function canReadNow (belief: ReplicaBelief, { prompt }: RequestState): boolean {
-  const roomTokens = (belief.load?.roomTokens[0] ?? 0) - belief.bookedSinceLoad
-  return backlogOf(belief) === 0 && roomTokens >= (prompt?.promptTokens ?? 0)
+export function canReadNow (view: ReplicaBelief, { prompt }: RequestState): boolean {
+  const roomTokens = (view.load?.roomTokens[0] ?? 0) - view.bookedSinceLoad
+  return backlogOf(view) === 0 && roomTokens >= (prompt?.promptTokens ?? 0)
 }
 
 /**
--- a/packages/bendfall-router/src/entry/BendfallRouterRecentSends.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterRecentSends.ts
@@ -7,8 +7,8 @@
 import { SENT_BEFORE_MS } from '../limits/BendfallRouterPermitKeeper.js'
 
 /** Buckets of the sliding window. */
-const SPANS = 4
-const SPAN_MS = SENT_BEFORE_MS / SPANS
+const BUCKETS = 4
+const BUCKET_MS = SENT_BEFORE_MS / BUCKETS
 
 /** Sliding window over the sends to one replica. */
 export interface RecentSends {
@@ -20,7 +20,7 @@
 
 /** @returns a window without sends */
 export function createRecentSends (): RecentSends {
-  return { newest: -Infinity, counts: Array.from({ length: SPANS + 1 }, () => 0) }
+  return { newest: -Infinity, counts: Array.from({ length: BUCKETS + 1 }, () => 0) }
 }
 
 /**
@@ -30,9 +30,9 @@
  * @param nowMs - monotonic time of the send
  */
 export function noteRecentSend (recent: RecentSends, nowMs: number): void {
-  turn(recent, nowMs)
-  const place = recent.newest % recent.counts.length
-  recent.counts[place] = (recent.counts[place] ?? 0) + 1
+  advance(recent, nowMs)
+  const index = recent.newest % recent.counts.length
+  recent.counts[index] = (recent.counts[index] ?? 0) + 1
 }
 
 /**
@@ -44,16 +44,16 @@
  */
 export function countSent (recent: RecentSends | undefined, nowMs: number): number {
   if (recent === undefined) return 0
-  turn(recent, nowMs)
+  advance(recent, nowMs)
   const { counts, newest } = recent
   const oldest = counts[(newest + 1) % counts.length] ?? 0
-  const passedShare = nowMs / SPAN_MS - newest
-  return Math.round(counts.reduce((sum, count) => sum + count, 0) - oldest * passedShare)
+  const elapsedShare = nowMs / BUCKET_MS - newest
+  return Math.round(counts.reduce((sum, count) => sum + count, 0) - oldest * elapsedShare)
 }
 
-function turn (recent: RecentSends, nowMs: number): void {
-  const span = Math.floor(nowMs / SPAN_MS)
+function advance (recent: RecentSends, nowMs: number): void {
+  const bucket = Math.floor(nowMs / BUCKET_MS)
   const { counts, newest } = recent
-  for (let passed = Math.max(newest + 1, span - SPANS); passed <= span; passed++) counts[passed % counts.length] = 0
-  recent.newest = Math.max(newest, span)
+  for (let elapsed = Math.max(newest + 1, bucket - BUCKETS); elapsed <= bucket; elapsed++) counts[elapsed % counts.length] = 0
+  recent.newest = Math.max(newest, bucket)
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterReducer.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterReducer.ts
@@ -35,10 +35,10 @@
 import { chooseSubset } from './BendfallRouterSubset.js'
 
 /** Lifetime of a prefill result when the configuration does not specify it. */
-const FIRST_HANDLE_TTL_MS = 500
+const DEFAULT_HANDLE_TTL_MS = 500
 
 /** Lowest HTTP status that counts as a failure of the replica. */
-const FIRST_FAILED_STATUS = 500
+const MIN_FAILED_STATUS = 500
 
 /** `Retry-After` for requests whose deadline passed before they were sent. */
 const DEADLINE_RETRY_MS = 1_000
@@ -59,12 +59,12 @@
 
 const HANDLERS: { readonly [T in RouterEvent['type']]: Handler<T> } = {
   answer_complete: (context, event) => withAttempt(context, event, (request) => {
-    if (event.status < FIRST_FAILED_STATUS) noteRequestServed(context, request)
+    if (event.status < MIN_FAILED_STATUS) noteRequestServed(context, request)
     return request.phase === 'plain' ? takePlainAnswer(context, request, event) : takeRunAnswer(context, request, event)
   }),
   answer_started: (context, event) => withAttempt(context, event, (request) => {
     request.answersSinceMs = context.nowMs
-    if (!request.isCommitted) noteStart(context, request)
+    if (!request.isCommitted) recordResponseStart(context, request)
     if (!request.isCommitted && request.phase === 'run') noteRun(context, request.service, 'taken')
     request.isCommitted = true
     return undefined
@@ -75,7 +75,7 @@
     if (request !== undefined) endCancelled(context, request)
     else dropHeld(context, event.key)
   },
-  config_learned: (context, event) => learnConfig(context, event),
+  config_learned: (context, event) => applyConfig(context, event),
   config_proven: ({ state }, { provenAtMs }) => { state.configProvenAtMs = Math.max(state.configProvenAtMs, provenAtMs) },
   confirm_answered: (context, event) => inPhase(context, event, 'confirm', (request) => takeConfirmAnswer(context, request, event.outcome)),
   crash_report_learned: takeCrashReport,
@@ -85,27 +85,27 @@
     const request = context.state.requests.get(event.key)
     if (request === undefined) return
     noteUnanswered(context, request)
-    advance(context, request, atDeadline(request))
+    advance(context, request, endAtDeadline(request))
   },
   hold_answered: (context, event) => inPhase(context, event, 'hold', (request) => takeHoldAnswer(context, request, event.outcome)),
   ledger_lost: (context, event) => {
-    const belief = context.state.replicas.get(event.replicaId)
-    if (belief === undefined) return
-    belief.load = undefined
-    belief.loadAtMs = -Infinity
-    noteLedgerLost(belief, context.nowMs)
+    const view = context.state.replicas.get(event.replicaId)
+    if (view === undefined) return
+    view.load = undefined
+    view.loadAtMs = -Infinity
+    noteLedgerLost(view, context.nowMs)
   },
   limits_learned: learnLimits,
   load_learned: (context, event) => {
-    const belief = context.state.replicas.get(event.load.replicaId)
-    if (belief === undefined) return
-    belief.load = event.load
-    belief.ledgerFailures = 0
-    belief.ledgerDownUntilMs = -Infinity
-    belief.loadAtMs = event.atMs
-    belief.bookedSinceLoad = 0
-    belief.prefillSinceLoad = 0
-    if (event.load.limitPerS !== undefined) learnLimits(context, { limits: [{ processName: nameProcess(belief.replica), perS: event.load.limitPerS }] })
+    const view = context.state.replicas.get(event.load.replicaId)
+    if (view === undefined) return
+    view.load = event.load
+    view.ledgerFailures = 0
+    view.ledgerDownUntilMs = -Infinity
+    view.loadAtMs = event.atMs
+    view.bookedSinceLoad = 0
+    view.prefillSinceLoad = 0
+    if (event.load.limitPerS !== undefined) learnLimits(context, { limits: [{ processName: nameProcess(view.replica), perS: event.load.limitPerS }] })
     if (event.load.isLeaving === true) takeReplicaNotice(context, { replicaId: event.load.replicaId, notice: { isLeaving: true } })
   },
   loads_answered: (context, event) => withAttempt(context, event, ({ afterLoads, phase }) =>
@@ -124,14 +124,14 @@
   replicas_current: (context) => { context.state.replicasCurrentAtMs = context.nowMs },
   replicas_refreshed: (context) => {
     for (const { request, step } of unpark(context)) advance(context, request, { type: step })
-    for (const arrival of takeHeld(context.state)) takeArrival(context, arrival)
+    for (const arrival of takeHeld(context.state)) handleArrival(context, arrival)
   },
   replicas_changed: (context, event) => {
     for (const replicaId of event.gone) forgetReplica(context, replicaId)
     for (const replica of event.present) learnReplica(context, replica)
     chooseSubset(context.state)
   },
-  request_arrived: (context, event) => takeArrival(context, event.arrival),
+  request_arrived: (context, event) => handleArrival(context, event.arrival),
   reserve_answered: (context, event) => inPhase(context, event, 'reserve', (request) => takeReserveAnswer(context, request, event.outcome)),
   run_failed: (context, event) => withAttempt(context, event, (request) =>
     request.phase === 'plain' ? takePlainFailure(context, request, event.failure) : takeRunFailure(context, request, event)),
@@ -168,7 +168,7 @@
   return context.effects
 }
 
-function takeArrival (context: RouterContext, arrival: Arrival): void {
+function handleArrival (context: RouterContext, arrival: Arrival): void {
   const admitted = admit(context, arrival)
   if (admitted !== undefined) advance(context, admitted.request, admitted.next)
 }
@@ -194,34 +194,34 @@
   }
 }
 
-function atDeadline (request: RequestState): NextStep {
+function endAtDeadline (request: RequestState): NextStep {
   if (request.isCommitted) return { type: 'cut', reason: 'deadline' }
   if (request.runs > 0) return { type: 'refuse', status: 504, reason: 'deadline' }
   return { type: 'refuse', status: 503, reason: 'deadline', retryAfterMs: DEADLINE_RETRY_MS }
 }
 
-function noteStart (context: RouterContext, request: RequestState): void {
+function recordResponseStart (context: RouterContext, request: RequestState): void {
   request.isLate = context.nowMs > request.targetAtMs
   const sinceSentMs = Math.round(context.nowMs - (request.runSentAtMs ?? context.nowMs))
   learnReadSpeed(context.state, request, sinceSentMs)
   logDecision(context, request, 'answer_started', { route: request.route.name, replica: request.runAt, sinceSentMs, reading: request.reading, isLate: request.isLate })
 }
 
-function learnConfig (context: RouterContext, { config }: RouterEventOf<'config_learned'>): void {
+function applyConfig (context: RouterContext, { config }: RouterEventOf<'config_learned'>): void {
   const { state } = context
-  const former = state.config?.version
-  if (former === config.version) return
-  const isNewer = former === undefined || config.version > former
+  const previous = state.config?.version
+  if (previous === config.version) return
+  const isNewer = previous === undefined || config.version > previous
   if (isNewer) {
     state.config = config
     state.customerIndex = indexCustomers(config)
     learnForeign(context)
     chooseSubset(state)
   }
-  context.effects.push({ type: 'log', decision: isNewer ? 'config_in_force' : 'config_ignored', requestId: '', inputs: { version: config.version, former, routes: config.routes.length, customers: config.customers?.length } })
+  context.effects.push({ type: 'log', decision: isNewer ? 'config_in_force' : 'config_ignored', requestId: '', inputs: { version: config.version, former: previous, routes: config.routes.length, customers: config.customers?.length } })
 }
 
 function handleTtlMs (state: RouterState, request: RequestState): number {
   const service = state.config?.services.find((one) => one.name === request.service)
-  return service?.engine?.handleTtlMs ?? FIRST_HANDLE_TTL_MS
+  return service?.engine?.handleTtlMs ?? DEFAULT_HANDLE_TTL_MS
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterRefusals.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterRefusals.ts
@@ -12,13 +12,13 @@
 const HALF_LIFE_MS = 2_000
 
 /** Decayed number of outcomes below which the refused share is reported as 0. */
-const LEAST_OUTCOMES = 3
+const MIN_OUTCOMES = 3
 
 /** Accepted share of wasted prefills; more would cost more than the served requests are worth. */
-const LOST_SHARE = 0.2
+const MAX_WASTED_SHARE = 0.2
 
 /** Maximum number of retries of one request for which retry budget is reserved. */
-const MOST_RETRIES = 4
+const MAX_RETRIES = 4
 
 /** Exponentially decayed counts of run outcomes at a service. */
 export interface RunOutcomes {
@@ -36,15 +36,15 @@
  * @param outcome - decision of the replica; `taken` if it accepted the run
  */
 export function noteRun ({ nowMs, state }: RouterContext, service: string, outcome: 'refused' | 'taken'): void {
-  const outcomes = fadedOutcomes(state.runOutcomes.get(service), nowMs)
+  const outcomes = decayedOutcomes(state.runOutcomes.get(service), nowMs)
   outcomes[outcome] += 1
   state.runOutcomes.set(service, outcomes)
 }
 
-function fadedOutcomes (known: RunOutcomes | undefined, nowMs: number): RunOutcomes {
+function decayedOutcomes (known: RunOutcomes | undefined, nowMs: number): RunOutcomes {
   if (known === undefined) return { refused: 0, taken: 0, atMs: nowMs }
-  const kept = 0.5 ** ((nowMs - known.atMs) / HALF_LIFE_MS)
-  return { refused: known.refused * kept, taken: known.taken * kept, atMs: nowMs }
+  const remaining = 0.5 ** ((nowMs - known.atMs) / HALF_LIFE_MS)
+  return { refused: known.refused * remaining, taken: known.taken * remaining, atMs: nowMs }
 }
 
 /**
@@ -55,8 +55,8 @@
  * @returns share from 0 to 1; 0 while there are too few outcomes
  */
 export function refusedShare ({ nowMs, state }: RouterContext, service: string): number {
-  const { refused, taken } = fadedOutcomes(state.runOutcomes.get(service), nowMs)
-  return refused + taken < LEAST_OUTCOMES ? 0 : refused / (refused + taken)
+  const { refused, taken } = decayedOutcomes(state.runOutcomes.get(service), nowMs)
+  return refused + taken < MIN_OUTCOMES ? 0 : refused / (refused + taken)
 }
 
 /**
@@ -69,12 +69,12 @@
  */
 export function coverRuns (context: RouterContext, request: RequestState): boolean {
   const share = refusedShare(context, request.service)
-  if (share <= LOST_SHARE) return true
+  if (share <= MAX_WASTED_SHARE) return true
   const retries = retriesFor(share)
-  return retries <= MOST_RETRIES && coverSends(context, request, 1 + retries)
+  return retries <= MAX_RETRIES && coverSends(context, request, 1 + retries)
 }
 
 // Number of retries after which the probability that all runs are refused is at most the accepted share.
 function retriesFor (refused: number): number {
-  return refused >= 1 ? Infinity : Math.ceil(Math.log(LOST_SHARE) / Math.log(refused)) - 1
+  return refused >= 1 ? Infinity : Math.ceil(Math.log(MAX_WASTED_SHARE) / Math.log(refused)) - 1
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterRegistrations.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterRegistrations.ts
@@ -26,7 +26,7 @@
   const { replicaId } = replica
   const known = state.replicas.get(replicaId)
   if (known !== undefined ? isOutdated(replica, known.replica) : isOldWord(context, replica)) return
-  if (isForeign(state, replica)) return noteForeign(context, replica)
+  if (isForeign(state, replica)) return recordForeign(context, replica)
   state.foreign.delete(replicaId)
   if (known !== undefined && isSameIncarnation(replica, known.replica)) {
     const { isDraining, stage } = known.replica
@@ -37,7 +37,7 @@
     return
   }
   endFormerIncarnation(context, replica)
-  if (!takeAddress(context, replica)) return
+  if (!claimAddress(context, replica)) return
   addReplica(state, replica)
   logLearned(context, replica)
 }
@@ -83,11 +83,11 @@
   return found === undefined || (found.engine !== undefined) !== (stage !== 'plain')
 }
 
-function noteForeign ({ effects, state }: RouterContext, replica: Replica): void {
+function recordForeign ({ effects, state }: RouterContext, replica: Replica): void {
   removeReplica(state, replica.replicaId)
-  const isNoted = state.foreign.has(replica.replicaId)
+  const isRecorded = state.foreign.has(replica.replicaId)
   state.foreign.set(replica.replicaId, replica)
-  if (isNoted) return
+  if (isRecorded) return
   const { replicaId, service, stage } = replica
   effects.push({ type: 'log', decision: 'replica_foreign', requestId: '', inputs: { replica: replicaId, service, stage } })
 }
@@ -109,8 +109,8 @@
   const isKnown = removeReplica(state, replicaId)
   state.foreign.delete(replicaId)
   state.replaced.delete(replicaId)
-  for (const [former, by] of state.replaced) {
-    if (by === replicaId) state.replaced.delete(former)
+  for (const [previousId, replacedBy] of state.replaced) {
+    if (replacedBy === replicaId) state.replaced.delete(previousId)
   }
   if (isKnown) effects.push({ type: 'log', decision: 'replica_gone', requestId: '', inputs: { replica: replicaId } })
 }
@@ -124,21 +124,21 @@
  */
 export function noteMissing ({ effects, state }: RouterContext, replicaIds: readonly string[]): void {
   for (const replicaId of replicaIds) {
-    const belief = state.replicas.get(replicaId)
-    if (belief === undefined || state.missing.has(replicaId)) continue
+    const view = state.replicas.get(replicaId)
+    if (view === undefined || state.missing.has(replicaId)) continue
     state.missing.add(replicaId)
-    effects.push({ type: 'log', decision: 'replica_missing', requestId: '', inputs: { replica: replicaId, isUsed: !isLeaving(state, belief) } })
+    effects.push({ type: 'log', decision: 'replica_missing', requestId: '', inputs: { replica: replicaId, isUsed: !isLeaving(state, view) } })
   }
 }
 
 // Returns false if a later registration already uses the address.
-function takeAddress (context: RouterContext, replica: Replica): boolean {
+function claimAddress (context: RouterContext, replica: Replica): boolean {
   const { state } = context
-  const holder = replicaAt(state, replica.address)?.replica
-  if (holder === undefined || state.decisions.addresses === 'all') return true
-  const isLater = isLaterIncarnation(replica, holder)
-  if (isLater) replace(context, holder, replica)
-  else replace(context, replica, holder)
+  const current = replicaAt(state, replica.address)?.replica
+  if (current === undefined || state.decisions.addresses === 'all') return true
+  const isLater = isLaterIncarnation(replica, current)
+  if (isLater) replaceReplica(context, current, replica)
+  else replaceReplica(context, replica, current)
   return isLater
 }
 
@@ -147,12 +147,12 @@
   return one.registeredAtRevision > other.registeredAtRevision
 }
 
-function replace (context: RouterContext, former: Replica, by: Replica): void {
+function replaceReplica (context: RouterContext, previous: Replica, successor: Replica): void {
   const { effects, state } = context
-  removeReplica(state, former.replicaId)
-  noteProcessGone(context, former)
-  state.replaced.delete(by.replicaId)
-  if (state.replaced.get(former.replicaId) === by.replicaId) return
-  state.replaced.set(former.replicaId, by.replicaId)
-  effects.push({ type: 'log', decision: 'replica_replaced', requestId: '', inputs: { replica: former.replicaId, by: by.replicaId, address: by.address } })
+  removeReplica(state, previous.replicaId)
+  noteProcessGone(context, previous)
+  state.replaced.delete(successor.replicaId)
+  if (state.replaced.get(previous.replicaId) === successor.replicaId) return
+  state.replaced.set(previous.replicaId, successor.replicaId)
+  effects.push({ type: 'log', decision: 'replica_replaced', requestId: '', inputs: { replica: previous.replicaId, by: successor.replicaId, address: successor.address } })
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterReplicaLimit.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterReplicaLimit.ts
@@ -77,11 +77,11 @@
  */
 export function learnLimits (context: RouterContext, { limits }: Pick<RouterEventOf<'limits_learned'>, 'limits'>): void {
   const { nowMs, state } = context
-  for (const told of limits) {
-    const replicaId = readReplicaId(told.processName)
+  for (const namedLimit of limits) {
+    const replicaId = readReplicaId(namedLimit.processName)
     const replica = state.replicas.get(replicaId)?.replica
-    if (replica === undefined || nameProcess(replica) !== told.processName || state.limits.has(told.processName)) continue
-    addLearnedLimit(state.limits, told, nowMs)
+    if (replica === undefined || nameProcess(replica) !== namedLimit.processName || state.limits.has(namedLimit.processName)) continue
+    addLearnedLimit(state.limits, namedLimit, nowMs)
     logChange(context, replicaId, 'named', 'document')
     const limit = limitOf(state, replica)
     if (limit !== undefined) limit.sentBefore = countSent(state.replicas.get(replicaId)?.recentSends, nowMs)
@@ -133,10 +133,10 @@
  * @returns usable replicas that advertise a limit
  */
 export function limitedReplicas ({ nowMs, state }: RouterContext, request: RequestState, stage: ReplicaStage): LimitedReplica[] {
-  return (state.usedByService.get(request.service) ?? []).flatMap((belief) => {
-    const limit = limitOf(state, belief.replica)
-    const isCandidate = limit !== undefined && stageOf(belief) === stage && !isLeaving(state, belief) && !request.excluded.has(belief.replica.replicaId) && backoffLeftMs(state.notices, nameProcess(belief.replica), nowMs) === 0
-    return isCandidate ? [{ replicaId: belief.replica.replicaId, limit }] : []
+  return (state.usedByService.get(request.service) ?? []).flatMap((view) => {
+    const limit = limitOf(state, view.replica)
+    const isCandidate = limit !== undefined && stageOf(view) === stage && !isLeaving(state, view) && !request.excluded.has(view.replica.replicaId) && backoffLeftMs(state.notices, nameProcess(view.replica), nowMs) === 0
+    return isCandidate ? [{ replicaId: view.replica.replicaId, limit }] : []
   })
 }
 
--- a/packages/bendfall-router/src/entry/BendfallRouterReserve.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterReserve.ts
@@ -28,10 +28,10 @@
 const NO_REPLICA_RETRY_MS = 1_000
 
 /** Upper bound of the `Retry-After` for missing memory. */
-const LONGEST_RETRY_MS = 4_000
+const MAX_RETRY_MS = 4_000
 
 /** Lower bound of the `Retry-After` for missing memory: about the time until one running response completes. */
-const SHORTEST_RETRY_MS = 400
+const MIN_RETRY_MS = 400
 
 /** `Retry-After` where the settings disable predicted waits. */
 const FIXED_RETRY_MS = 1_000
@@ -52,18 +52,18 @@
 export function startReserve (context: RouterContext, request: RequestState): NextStep {
   wantPermits(context, request, 'decode')
   if (askLoads(context, request, 'reserve')) return undefined
-  return request.reading === 'in_place' ? reserveReader(context, request) : reserveRoom(context, request)
+  return request.reading === 'in_place' ? reserveInPlace(context, request) : reserveMemory(context, request)
 }
 
 // In-place prefill is chosen to start sooner, so a replica that requires a wait is not used for it.
-function reserveReader (context: RouterContext, request: RequestState): NextStep {
-  const readers = knownReplicas(context, request, 'decode').filter((belief) => canReadNow(belief, request))
-  if (readers.length === 0) return readApart(context, request)
-  const best = chooseOption(context, request, readers)
-  return best === undefined || best.waitMs > 0 ? readApart(context, request) : ask(context, request, best, 0, 0)
+function reserveInPlace (context: RouterContext, request: RequestState): NextStep {
+  const candidates = knownReplicas(context, request, 'decode').filter((view) => canReadNow(view, request))
+  if (candidates.length === 0) return fallBackToPrefillPool(context, request)
+  const best = chooseOption(context, request, candidates)
+  return best === undefined || best.waitMs > 0 ? fallBackToPrefillPool(context, request) : requestReservation(context, request, best, 0, 0)
 }
 
-function reserveRoom (context: RouterContext, request: RequestState): NextStep {
+function reserveMemory (context: RouterContext, request: RequestState): NextStep {
   const decodes = knownReplicas(context, request, 'decode')
   const limited = decodes.length === 0 ? awaitPermit(context, request, 'decode', 'reserve') : undefined
   if (limited !== undefined) return limited.next
@@ -75,7 +75,7 @@
   if (best === undefined || maxWaitMs < 0 || best.waitMs > maxWaitMs + leadMs) {
     return refuseMemory(context, request, Math.min(best?.waitMs ?? Infinity, request.retryAfterMs ?? Infinity), 'no_memory')
   }
-  return ask(context, request, best, leadMs, maxWaitMs)
+  return requestReservation(context, request, best, leadMs, maxWaitMs)
 }
 
 /**
@@ -88,21 +88,21 @@
  */
 export function takeReserveAnswer (context: RouterContext, request: RequestState, outcome: ReserveOutcome): NextStep {
   const replicaId = request.reservedAt ?? ''
-  const belief = context.state.replicas.get(replicaId)
+  const view = context.state.replicas.get(replicaId)
   logDecision(context, request, `reservation_${outcome.type}`, { replica: replicaId })
-  if (outcome.type === 'granted') return goOn(request)
+  if (outcome.type === 'granted') return stepAfterReservation(request)
   if (outcome.type === 'unreachable') {
-    if (belief !== undefined) noteLedgerLost(belief, context.nowMs)
-    if (belief === undefined || !isOpen(context, belief)) return askAgain(context, request)
-    if (!takePermit(context, belief)) return goOn(request)
-    return startHold(context, request, belief, expectedTokens(request), request.handle === undefined ? planPrefill(context, request)?.leadMs ?? readInPlaceMs(context.state, request) : 0)
+    if (view !== undefined) noteLedgerLost(view, context.nowMs)
+    if (view === undefined || !isOpen(context, view)) return retryReservation(context, request)
+    if (!takePermit(context, view)) return stepAfterReservation(request)
+    return startHold(context, request, view, expectedTokens(request), request.handle === undefined ? planPrefill(context, request)?.leadMs ?? readInPlaceMs(context.state, request) : 0)
   }
-  if (outcome.type === 'replica_lost') return leaveLost(context, request, replicaId)
-  if (request.reading === 'in_place') return readApart(context, request)
+  if (outcome.type === 'replica_lost') return retryWithoutReplica(context, request, replicaId)
+  if (request.reading === 'in_place') return fallBackToPrefillPool(context, request)
   request.retryAfterMs = Math.min(request.retryAfterMs ?? Infinity, outcome.retryAfterMs)
   request.refusals += 1
   request.excluded.add(replicaId)
-  return askAgain(context, request)
+  return retryReservation(context, request)
 }
 
 /**
@@ -114,58 +114,58 @@
  * @returns the next step
  */
 export function takeHoldAnswer (context: RouterContext, request: RequestState, outcome: HoldOutcome): NextStep {
-  if (takeHold(context, request, outcome)) return goOn(request)
+  if (takeHold(context, request, outcome)) return stepAfterReservation(request)
   request.refusals += 1
   if (request.reservedAt !== undefined) request.excluded.add(request.reservedAt)
-  return askAgain(context, request)
+  return retryReservation(context, request)
 }
 
 // Tries another replica. A lost replica does not count as a refusal for lack of memory.
-function leaveLost (context: RouterContext, request: RequestState, replicaId: string): NextStep {
+function retryWithoutReplica (context: RouterContext, request: RequestState, replicaId: string): NextStep {
   leaveReservation(context, request)
   request.excluded.add(replicaId)
   return { type: 'reserve' }
 }
 
 // Falls back to a prefill replica, since no decode replica can start the prefill at once.
-function readApart (context: RouterContext, request: RequestState): NextStep {
+function fallBackToPrefillPool (context: RouterContext, request: RequestState): NextStep {
   leaveReservation(context, request)
   request.reading = 'apart'
   request.isReadingRefused = true
   return { type: 'queue' }
 }
 
-function goOn (request: RequestState): NextStep {
+function stepAfterReservation (request: RequestState): NextStep {
   return request.handle !== undefined || request.reading !== 'apart' ? { type: 'run' } : { type: 'prefill' }
 }
 
-function askAgain (context: RouterContext, request: RequestState): NextStep {
+function retryReservation (context: RouterContext, request: RequestState): NextStep {
   leaveReservation(context, request)
   if (request.refusals < MAX_REFUSALS) return { type: 'reserve' }
-  return refuseMemory(context, request, request.retryAfterMs ?? SHORTEST_RETRY_MS, 'no_memory')
+  return refuseMemory(context, request, request.retryAfterMs ?? MIN_RETRY_MS, 'no_memory')
 }
 
-function ask (context: RouterContext, request: RequestState, option: MemoryOption, leadMs: number, maxWaitMs: number): NextStep {
-  const { belief } = option
+function requestReservation (context: RouterContext, request: RequestState, option: MemoryOption, leadMs: number, maxWaitMs: number): NextStep {
+  const { belief: view } = option
   const prompt = request.prompt as Prompt
-  const { address, replicaId } = belief.replica
+  const { address, replicaId } = view.replica
   request.phase = 'reserve'
   request.attempt += 1
   request.reservedAt = replicaId
   request.bookingId = `${request.requestId}/${request.attempt}`
-  belief.bookedSinceLoad += prompt.promptTokens + hintOf(prompt)
-  belief.ownTokens += prompt.promptTokens
+  view.bookedSinceLoad += prompt.promptTokens + hintOf(prompt)
+  view.ownTokens += prompt.promptTokens
   const readsInPlace = request.reading !== 'apart' && request.handle === undefined
   const readMs = readsInPlace ? readInPlaceMs(context.state, request) : 0
-  if (readsInPlace) belief.prefillSinceLoad += prompt.promptTokens
+  if (readsInPlace) view.prefillSinceLoad += prompt.promptTokens
   logDecision(context, request, 'reservation_asked', {
-    replica: replicaId, waitMs: Math.round(option.waitMs), roomTokens: Math.round(option.roomTokens), loadAgeMs: Math.round(context.nowMs - belief.loadAtMs), leadMs: Math.round(leadMs), maxWaitMs: Math.round(maxWaitMs), reading: request.reading
+    replica: replicaId, waitMs: Math.round(option.waitMs), roomTokens: Math.round(option.roomTokens), loadAgeMs: Math.round(context.nowMs - view.loadAtMs), leadMs: Math.round(leadMs), maxWaitMs: Math.round(maxWaitMs), reading: request.reading
   })
-  carryPermit(context, request, belief)
-  if (context.state.decisions.reserve === 'none') return goOn(request)
+  carryPermit(context, request, view)
+  if (context.state.decisions.reserve === 'none') return stepAfterReservation(request)
   // If the rate limit permits only one call, the run takes precedence over the hold.
-  if (belief.ledgerDownUntilMs > context.nowMs && !takePermit(context, belief)) return goOn(request)
-  if (belief.ledgerDownUntilMs > context.nowMs) return startHold(context, request, belief, expectedTokens(request), leadMs + readMs)
+  if (view.ledgerDownUntilMs > context.nowMs && !takePermit(context, view)) return stepAfterReservation(request)
+  if (view.ledgerDownUntilMs > context.nowMs) return startHold(context, request, view, expectedTokens(request), leadMs + readMs)
   context.effects.push({
     type: 'reserve',
     key: request.key,
@@ -196,8 +196,8 @@
  */
 export function refuseMemory (context: RouterContext, request: RequestState, waitMs: number, reason: 'no_memory' | 'no_replica' | 'prefill_busy'): NextStep {
   if (request.isCommitted) return { type: 'cut', reason }
-  const toldMs = context.state.decisions.retryAfter === 'fixed' ? FIXED_RETRY_MS : waitMs
-  const retryAfterMs = Math.min(LONGEST_RETRY_MS, Math.max(SHORTEST_RETRY_MS, toldMs))
+  const predictedMs = context.state.decisions.retryAfter === 'fixed' ? FIXED_RETRY_MS : waitMs
+  const retryAfterMs = Math.min(MAX_RETRY_MS, Math.max(MIN_RETRY_MS, predictedMs))
   return { type: 'refuse', status: request.runs > 0 ? 502 : 503, reason, retryAfterMs }
 }
 
@@ -215,7 +215,7 @@
   if (request.handle === undefined) {
     // The caller's patience restarts with each event. When it was counted from the arrival, 12 of
     // 700 streams on a day with crashes were cut without an attempt to resume them.
-    return givenUpAtMs(request) - PATIENCE_MARGIN_MS - nowMs - leadMs - FIRST_EVENT_MS
+    return callerTimeoutAtMs(request) - PATIENCE_MARGIN_MS - nowMs - leadMs - FIRST_EVENT_MS
   }
   return request.handle.expiresAtMs - HANDLE_MARGIN_MS - nowMs
 }
@@ -230,9 +230,9 @@
  * @returns milliseconds; negative if it is late already
  */
 export function dueMs ({ nowMs }: RouterContext, request: RequestState): number {
-  return (request.isCommitted ? givenUpAtMs(request) : request.targetAtMs) - nowMs
+  return (request.isCommitted ? callerTimeoutAtMs(request) : request.targetAtMs) - nowMs
 }
 
-function givenUpAtMs ({ arrivedAtMs, brokenOffAtMs, deadlineAtMs, route }: RequestState): number {
+function callerTimeoutAtMs ({ arrivedAtMs, brokenOffAtMs, deadlineAtMs, route }: RequestState): number {
   return Math.min((brokenOffAtMs ?? arrivedAtMs) + route.patienceMs, deadlineAtMs)
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterRestarts.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterRestarts.ts
@@ -20,33 +20,33 @@
  */
 export function endFormerIncarnation (context: RouterContext, replica: Replica): void {
   const { effects, state } = context
-  const former = state.replicas.get(replica.replicaId)?.replica
-  if (former !== undefined) {
-    noteProcessEnded(context, former, 'registration')
+  const previous = state.replicas.get(replica.replicaId)?.replica
+  if (previous !== undefined) {
+    noteProcessEnded(context, previous, 'registration')
     // Without start times, both processes have the same name.
-    state.notices.delete(nameProcess(former))
+    state.notices.delete(nameProcess(previous))
   }
   const wasKnown = removeReplica(state, replica.replicaId)
-  if (wasKnown) forgetOrders(context, replica)
+  if (wasKnown) removeOrders(context, replica)
   let ended = 0
   for (const request of state.requests.values()) {
-    if (endSend(context, request, replica)) ended += 1
-    if (request.handle !== undefined && isFormer(request.handle, replica)) request.handle = undefined
+    if (failPreviousSend(context, request, replica)) ended += 1
+    if (request.handle !== undefined && isPreviousProcess(request.handle, replica)) request.handle = undefined
   }
   if (!wasKnown && ended === 0) return
   effects.push({ type: 'log', decision: 'replica_restarted', requestId: '', inputs: { replica: replica.replicaId, startedAtMs: replica.startedAtMs, ended } })
 }
 
 // The previous process cannot carry out its stage order any more.
-function forgetOrders ({ state }: RouterContext, { replicaId, service }: Replica): void {
+function removeOrders ({ state }: RouterContext, { replicaId, service }: Replica): void {
   if (state.poolOrders.get(service)?.replicaIds.includes(replicaId) === true) state.poolOrders.delete(service)
 }
 
 // Fails the send as if its replica had crashed, so only repeatable requests are retried. Clears the
 // replica from the request first, so that the failure is not attributed to the new process.
-function endSend ({ effects }: RouterContext, request: RequestState, replica: Replica): boolean {
+function failPreviousSend ({ effects }: RouterContext, request: RequestState, replica: Replica): boolean {
   const { sentTo } = request
-  if (sentTo === undefined || !isFormer(sentTo, replica)) return false
+  if (sentTo === undefined || !isPreviousProcess(sentTo, replica)) return false
   if (request.runAt !== sentTo.replicaId && request.prefillAt !== sentTo.replicaId) return false
   request.runAt = undefined
   request.prefillAt = undefined
@@ -55,6 +55,6 @@
 }
 
 // Without start times from the platform, two processes under one id are not distinguished here.
-function isFormer (one: { readonly replicaId: string, readonly startedAtMs?: number }, { startedAtMs, replicaId }: Replica): boolean {
+function isPreviousProcess (one: { readonly replicaId: string, readonly startedAtMs?: number }, { startedAtMs, replicaId }: Replica): boolean {
   return one.replicaId === replicaId && one.startedAtMs !== undefined && startedAtMs !== undefined && one.startedAtMs < startedAtMs
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterRun.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterRun.ts
@@ -17,7 +17,7 @@
 import type { RequestState } from './BendfallRouterRequest.js'
 
 /** Sends of a repeated prefill and of the run; only the first prefill is free. */
-const SENDS_TO_READ_AND_RUN = 2
+const PREFILL_AND_RUN_SENDS = 2
 
 /** `Retry-After` for requests that every replica refused. */
 const REFUSED_RETRY_MS = 600
@@ -29,7 +29,7 @@
 const FIRST_EVENT_TIMEOUT_MS = 300
 
 /** Added to that timeout for an in-place prefill, as a multiple of its predicted duration. */
-const READING_TIMEOUT_FACTOR = 2.5
+const IN_PLACE_TIMEOUT_FACTOR = 2.5
 
 /**
  * Sends a request to the replica whose memory is booked.
@@ -39,15 +39,15 @@
  * @returns the next step
  */
 export function startRun (context: RouterContext, request: RequestState): NextStep {
-  const belief = context.state.replicas.get(request.reservedAt ?? '')
-  if (belief === undefined) return reserveElsewhere(context, request)
-  if (request.handle !== undefined && request.handle.expiresAtMs <= context.nowMs) return readAnew(context, request)
-  const { address, replicaId } = belief.replica
+  const view = context.state.replicas.get(request.reservedAt ?? '')
+  if (view === undefined) return reserveElsewhere(context, request)
+  if (request.handle !== undefined && request.handle.expiresAtMs <= context.nowMs) return repeatPrefill(context, request)
+  const { address, replicaId } = view.replica
   const { handle, hold } = request
-  const payment = paySend(context, request, belief)
+  const payment = paySend(context, request, view)
   if (payment === 'closed') return reserveElsewhere(context, request)
   if (payment === 'unpaid') return refuseUnpaid(request)
-  noteSent(context, request, belief, 'run')
+  noteSent(context, request, view, 'run')
   request.handle = undefined
   request.hold = undefined
   request.triedHandle = handle
@@ -61,8 +61,8 @@
     source: handle === undefined ? undefined : `${handle.address}/${handle.handle}`,
     lastEventId: request.lastEventId,
     isStream: true,
-    tryTimeoutMs: tryTimeoutOf(context, request, handle !== undefined)
-  }, { replica: replicaId, prefillAt: handle?.replicaId, inFlight: belief.inFlight, registrationsAgeMs: registrationsAgeMs(context), attempt: request.attempt, lastEventId: request.lastEventId })
+    tryTimeoutMs: tryTimeoutMsOf(context, request, handle !== undefined)
+  }, { replica: replicaId, prefillAt: handle?.replicaId, inFlight: view.inFlight, registrationsAgeMs: registrationsAgeMs(context), attempt: request.attempt, lastEventId: request.lastEventId })
   return undefined
 }
 
@@ -73,15 +73,15 @@
 
 // A run with an expired prefill result would be refused as if memory were missing, and would then be
 // retried elsewhere with the same result.
-function readAnew (context: RouterContext, request: RequestState): NextStep {
+function repeatPrefill (context: RouterContext, request: RequestState): NextStep {
   logDecision(context, request, 'result_lapsed', { replica: request.handle?.replicaId })
   leaveHandle(context, request)
-  return coverSends(context, request, SENDS_TO_READ_AND_RUN) ? { type: 'prefill' } : refuseUnpaid(request)
+  return coverSends(context, request, PREFILL_AND_RUN_SENDS) ? { type: 'prefill' } : refuseUnpaid(request)
 }
 
-function tryTimeoutOf ({ state }: RouterContext, request: RequestState, isRead: boolean): number | undefined {
+function tryTimeoutMsOf ({ state }: RouterContext, request: RequestState, isPrefilled: boolean): number | undefined {
   if (!mayRunAgain(request) || request.runs >= request.route.maxAttempts) return undefined
-  return FIRST_EVENT_TIMEOUT_MS + (isRead ? 0 : READING_TIMEOUT_FACTOR * readInPlaceMs(state, request))
+  return FIRST_EVENT_TIMEOUT_MS + (isPrefilled ? 0 : IN_PLACE_TIMEOUT_FACTOR * readInPlaceMs(state, request))
 }
 
 /**
@@ -94,9 +94,9 @@
  */
 export function takeRunAnswer (context: RouterContext, request: RequestState, event: RouterEventOf<'answer_complete'>): NextStep {
   const replica = request.runAt
-  const belief = context.state.replicas.get(replica ?? '')
-  if (belief !== undefined && event.status < 500) noteSuccess(belief)
-  if (belief !== undefined && event.status >= 500) noteFailure(belief, context.nowMs)
+  const view = context.state.replicas.get(replica ?? '')
+  if (view !== undefined && event.status < 500) noteSuccess(view)
+  if (view !== undefined && event.status >= 500) noteFailure(view, context.nowMs)
   leaveRun(context, request)
   context.effects.push({ type: 'deliver', key: request.key })
   endAnswered(context, request, { status: event.status, replica, events: event.outputEvents, longestGapMs: event.longestGapMs })
@@ -115,9 +115,9 @@
 export function takeRunFailure (context: RouterContext, request: RequestState, event: RouterEventOf<'run_failed'>): NextStep {
   const { failure } = event
   const replicaId = request.runAt ?? ''
-  const belief = context.state.replicas.get(replicaId)
+  const view = context.state.replicas.get(replicaId)
   if (failure === 'connection_lost') noteConnectionLost(context, request)
-  if (belief !== undefined && failure !== 'not_run') noteFailure(belief, context.nowMs, failure)
+  if (view !== undefined && failure !== 'not_run') noteFailure(view, context.nowMs, failure)
   if (hasNotRun(failure)) request.runs -= 1
   if (failure === 'not_run') noteRun(context, request.service, 'refused')
   noteSendFailed(context, request, failure)
@@ -128,8 +128,8 @@
   leaveRun(context, request)
   leaveReservation(context, request)
   keepHandle(context, request, failure)
-  const mayGoOn = !request.isCommitted || context.state.decisions.resume === 'elsewhere'
-  if (mayGoOn && takeRetry(context, request, failure)) return { type: 'reserve' }
+  const mayResume = !request.isCommitted || context.state.decisions.resume === 'elsewhere'
+  if (mayResume && takeRetry(context, request, failure)) return { type: 'reserve' }
   if (request.isCommitted) return { type: 'cut', reason: 'replica_failed' }
   if (request.runs > 0) return { type: 'refuse', status: 502, reason: 'replica_failed' }
   return { type: 'refuse', status: 503, reason: 'replica_refused', retryAfterMs: REFUSED_RETRY_MS }
--- a/packages/bendfall-router/src/entry/BendfallRouterSend.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterSend.ts
@@ -17,7 +17,7 @@
 import type { ReplicaBelief } from './BendfallRouterState.js'
 
 /** `Retry-After` when the retry budget is exhausted. */
-const UNPAID_RETRY_MS = 1_000
+const BUDGET_RETRY_MS = 1_000
 
 /** Account of the sends of one request that count against the retry budget. */
 export interface SendAccount {
@@ -85,7 +85,7 @@
  * @param inputs - inputs of the decision, for the log
  */
 export function sendPrefill (context: RouterContext, request: RequestState, payment: Payment, effect: Omit<RouterEffectOf<'send_prefill'>, 'type' | 'customer'>, inputs: DecisionInputs): void {
-  logDecision(context, request, 'prefill_sent', { ...inputs, ...paymentInputs(context, request, payment) })
+  logDecision(context, request, 'prefill_sent', { ...inputs, ...chargeInputs(context, request, payment) })
   context.effects.push({ type: 'send_prefill', ...effect, customer: request.customer?.name })
 }
 
@@ -99,11 +99,11 @@
  * @param inputs - inputs of the decision, for the log
  */
 export function sendRun (context: RouterContext, request: RequestState, payment: Payment, effect: Omit<RouterEffectOf<'send_run'>, 'type' | 'customer'>, inputs: DecisionInputs): void {
-  logDecision(context, request, 'sent', { ...inputs, ...paymentInputs(context, request, payment) })
+  logDecision(context, request, 'sent', { ...inputs, ...chargeInputs(context, request, payment) })
   context.effects.push({ type: 'send_run', ...effect, customer: request.customer?.name })
 }
 
-function paymentInputs (context: RouterContext, { service }: RequestState, payment: Payment): DecisionInputs {
+function chargeInputs (context: RouterContext, { service }: RequestState, payment: Payment): DecisionInputs {
   return payment === 'first' ? {} : { paidFrom: payment, retriesLeft: Math.floor(spareExtras(budgetOf(context, service), context.nowMs)) }
 }
 
@@ -117,16 +117,16 @@
  * @param view - replica that the send goes to
  * @returns what the send is charged to, or why it must not be made
  */
-export function paySend (context: RouterContext, request: RequestState, belief: ReplicaBelief): Payment | Unsent {
-  if (!isOpen(context, belief)) return 'closed'
+export function paySend (context: RouterContext, request: RequestState, view: ReplicaBelief): Payment | Unsent {
+  if (!isOpen(context, view)) return 'closed'
   if (request.account.counted > 0 && !coverSends(context, request, 1)) return 'unpaid'
-  if (!usePermitOf(context, request, belief)) return 'closed'
-  const payment = payFromBudget(context, request)
-  if (payment !== 'unpaid') noteRecentSend(belief.recentSends, context.nowMs)
+  if (!usePermitOf(context, request, view)) return 'closed'
+  const payment = chargeBudget(context, request)
+  if (payment !== 'unpaid') noteRecentSend(view.recentSends, context.nowMs)
   return payment
 }
 
-function payFromBudget (context: RouterContext, request: RequestState): Payment | 'unpaid' {
+function chargeBudget (context: RouterContext, request: RequestState): Payment | 'unpaid' {
   const { account } = request
   account.extraMadeAtMs = undefined
   if (account.counted === 0) {
@@ -152,7 +152,7 @@
 export function refuseUnpaid (request: RequestState): NextStep {
   if (request.isCommitted) return { type: 'cut', reason: 'budget' }
   if (request.runs > 0) return { type: 'refuse', status: 502, reason: 'replica_failed' }
-  return { type: 'refuse', status: 503, reason: 'budget', retryAfterMs: UNPAID_RETRY_MS }
+  return { type: 'refuse', status: 503, reason: 'budget', retryAfterMs: BUDGET_RETRY_MS }
 }
 
 /**
@@ -164,7 +164,7 @@
 export function noteRead (context: RouterContext, request: RequestState): void {
   if (request.account.hasFreeRead) return
   request.account.hasFreeRead = true
-  takeBack(context, request)
+  refundSend(context, request)
 }
 
 /**
@@ -175,10 +175,10 @@
  * @param failure - how the send failed
  */
 export function noteSendFailed (context: RouterContext, request: RequestState, failure: SendFailure): void {
-  if (failure === 'not_sent') takeBack(context, request)
+  if (failure === 'not_sent') refundSend(context, request)
 }
 
-function takeBack (context: RouterContext, request: RequestState): void {
+function refundSend (context: RouterContext, request: RequestState): void {
   const { account } = request
   account.counted -= 1
   if (account.extraMadeAtMs === undefined) return
--- a/packages/bendfall-router/src/entry/BendfallRouterStalls.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterStalls.ts
@@ -11,16 +11,16 @@
 import type { ReplicaBelief, RouteBelief } from './BendfallRouterState.js'
 
 /** A call is overdue after this multiple of the mean latency, which corresponds to a queueing time of four service times. */
-const OVERDUE_MEANS = 6
+const OVERDUE_LATENCY_FACTOR = 6
 
 /** Lower bound of that time: responses of the users' plain services take 60 ms, and one in a hundred takes five times that. */
-const SHORTEST_OVERDUE_MS = 400
+const MIN_OVERDUE_MS = 400
 
 /** Initial time for which a replica gets no calls of a route after one hung there; doubles with each further one. */
-const FIRST_STALL_MS = 2_000
+const INITIAL_STALL_MS = 2_000
 
 /** Upper bound of that time; every probe of a replica that still hangs costs its caller the response. */
-const LONGEST_STALL_MS = 30_000
+const MAX_STALL_MS = 30_000
 
 /**
  * Records and logs the calls that have become overdue.
@@ -30,14 +30,14 @@
 export function noteOverdue (context: RouterContext): void {
   const { effects, nowMs, state } = context
   for (const request of state.requests.values()) {
-    const belief = state.replicas.get(request.runAt ?? '')
-    if (request.phase !== 'plain' || request.isCommitted || belief === undefined) continue
+    const view = state.replicas.get(request.runAt ?? '')
+    if (request.phase !== 'plain' || request.isCommitted || view === undefined) continue
     const openMs = nowMs - (request.runSentAtMs ?? nowMs)
-    if (openMs < overdueAfterMs(belief)) continue
-    const { overdue } = routeBelief(belief, request.route.name)
+    if (openMs < overdueAfterMs(view)) continue
+    const { overdue } = getOrCreateRouteHealth(view, request.route.name)
     if (overdue.has(request.key)) continue
     overdue.add(request.key)
-    effects.push({ type: 'log', decision: 'call_overdue', requestId: request.requestId, inputs: { replica: belief.replica.replicaId, route: request.route.name, openMs: Math.round(openMs) } })
+    effects.push({ type: 'log', decision: 'call_overdue', requestId: request.requestId, inputs: { replica: view.replica.replicaId, route: request.route.name, openMs: Math.round(openMs) } })
   }
 }
 
@@ -51,7 +51,7 @@
 export function noteUnanswered ({ nowMs, state }: RouterContext, request: RequestState): void {
   const known = state.replicas.get(request.runAt ?? '')?.routes.get(request.route.name)
   if (known === undefined || !known.overdue.delete(request.key)) return
-  known.stalledUntilMs = nowMs + Math.min(LONGEST_STALL_MS, FIRST_STALL_MS * 2 ** Math.min(known.hung, 10))
+  known.stalledUntilMs = nowMs + Math.min(MAX_STALL_MS, INITIAL_STALL_MS * 2 ** Math.min(known.hung, 10))
   known.hung += 1
 }
 
@@ -79,10 +79,10 @@
 }
 
 function overdueAfterMs ({ latencyMs }: ReplicaBelief): number {
-  return Math.max(SHORTEST_OVERDUE_MS, OVERDUE_MEANS * latencyMs)
+  return Math.max(MIN_OVERDUE_MS, OVERDUE_LATENCY_FACTOR * latencyMs)
 }
 
-function routeBelief ({ routes }: ReplicaBelief, route: string): RouteBelief {
+function getOrCreateRouteHealth ({ routes }: ReplicaBelief, route: string): RouteBelief {
   const known = routes.get(route) ?? { overdue: new Set<string>(), hung: 0, stalledUntilMs: -Infinity }
   routes.set(route, known)
   return known
--- a/packages/bendfall-router/src/entry/BendfallRouterStandstill.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterStandstill.ts
@@ -14,7 +14,7 @@
 export const TICK_MS = 400
 
 /** A longer gap between events counts as a pause; a busy process is late by some hundred milliseconds. */
-const STANDSTILL_MS = 1_000
+const MIN_PAUSE_MS = 1_000
 
 /**
  * Compares the time of an event with that of the previous one. Wall clock time that ran ahead of the
@@ -28,15 +28,15 @@
   const gapMs = nowMs - state.lastEventAtMs + suspendedMs
   state.lastEventAtMs = nowMs
   state.configProvenAtMs -= suspendedMs
-  if (gapMs === Infinity || gapMs <= STANDSTILL_MS) return
+  if (gapMs === Infinity || gapMs <= MIN_PAUSE_MS) return
   state.isUnsure = true
-  if (suspendedMs > 0) forgetWhatAged(state)
+  if (suspendedMs > 0) expireLoadsAndPermits(state)
   effects.push({ type: 'refresh_replicas' })
   effects.push({ type: 'log', decision: 'stood_still', requestId: '', inputs: { gapMs: Math.round(gapMs), suspendedMs: Math.round(suspendedMs), requests: state.requests.size } })
 }
 
-function forgetWhatAged ({ limits, replicas }: RouterState): void {
-  for (const belief of replicas.values()) belief.loadAtMs = -Infinity
+function expireLoadsAndPermits ({ limits, replicas }: RouterState): void {
+  for (const view of replicas.values()) view.loadAtMs = -Infinity
   for (const limit of limits.values()) dropPermits(limit)
 }
 
--- a/packages/bendfall-router/src/entry/BendfallRouterState.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterState.ts
@@ -161,10 +161,10 @@
 }
 
 /** Prefill time per token before the first measurement: 33 tokens per millisecond on the users' engines. */
-const FIRST_PREFILL_MS_PER_TOKEN = 0.03
+const INITIAL_PREFILL_MS_PER_TOKEN = 0.03
 
 /** In-place prefill time per token before the first measurement: half the speed, interleaved with a dozen other requests. */
-const FIRST_IN_PLACE_MS_PER_TOKEN = 0.15
+const INITIAL_IN_PLACE_MS_PER_TOKEN = 0.15
 
 /**
  * Creates the initial state of an entry.
@@ -206,8 +206,8 @@
     undecoded: new Set(),
     crashes: createCrashRecords(crashLimits),
     runOutcomes: new Map(),
-    prefillMsPerToken: FIRST_PREFILL_MS_PER_TOKEN,
-    inPlaceMsPerToken: FIRST_IN_PLACE_MS_PER_TOKEN,
+    prefillMsPerToken: INITIAL_PREFILL_MS_PER_TOKEN,
+    inPlaceMsPerToken: INITIAL_IN_PLACE_MS_PER_TOKEN,
     poolWork: new Map(),
     poolOrders: new Map(),
     lastEventAtMs: -Infinity,
--- a/packages/bendfall-router/src/entry/BendfallRouterSubset.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterSubset.ts
@@ -22,29 +22,29 @@
   state.subset.clear()
   state.usedByService.clear()
   const groups = new Map<string, ReplicaBelief[]>()
-  for (const belief of state.replicas.values()) {
-    if (belief.replica.stage === 'plain') use(state, belief)
-    else if (!belief.replica.isDraining && !hasSaidLeaving(state.notices, nameProcess(belief.replica))) addTo(groups, `${belief.replica.service} ${belief.replica.stage}`, belief)
+  for (const view of state.replicas.values()) {
+    if (view.replica.stage === 'plain') addToService(state, view)
+    else if (!view.replica.isDraining && !hasSaidLeaving(state.notices, nameProcess(view.replica))) addTo(groups, `${view.replica.service} ${view.replica.stage}`, view)
   }
   for (const group of groups.values()) {
-    for (const belief of bestOf(group)) {
-      state.subset.add(belief.replica.replicaId)
-      use(state, belief)
+    for (const view of selectBest(group)) {
+      state.subset.add(view.replica.replicaId)
+      addToService(state, view)
     }
   }
 }
 
-function use ({ usedByService }: RouterState, belief: ReplicaBelief): void {
-  addTo(usedByService, belief.replica.service, belief)
+function addToService ({ usedByService }: RouterState, view: ReplicaBelief): void {
+  addTo(usedByService, view.replica.service, view)
 }
 
-function addTo (groups: Map<string, ReplicaBelief[]>, name: string, belief: ReplicaBelief): void {
+function addTo (groups: Map<string, ReplicaBelief[]>, name: string, view: ReplicaBelief): void {
   const group = groups.get(name)
-  if (group === undefined) groups.set(name, [belief])
-  else group.push(belief)
+  if (group === undefined) groups.set(name, [view])
+  else group.push(view)
 }
 
-function bestOf (group: readonly ReplicaBelief[]): readonly ReplicaBelief[] {
+function selectBest (group: readonly ReplicaBelief[]): readonly ReplicaBelief[] {
   if (group.length <= SUBSET_SIZE) return group
   return [...group].sort((a, b) => b.subsetScore - a.subsetScore).slice(0, SUBSET_SIZE)
 }
