--- a/packages/bendfall-router/src/entry/BendfallRouterPlain.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterPlain.ts
@@ -54,10 +54,10 @@
   const view = chooseReplica(context, request)
   if (view === undefined) return handleNoReplica(context, request)
   const { address, replicaId } = view.replica
-  const payment = paySend(context, request, view)
-  if (payment === 'closed' || payment === 'unpaid') return refuseUnpaid(request)
+  const charge = paySend(context, request, view)
+  if (charge === 'closed' || charge === 'unpaid') return refuseUnpaid(request)
   noteSent(context, request, view, 'plain')
-  sendRun(context, request, payment, {
+  sendRun(context, request, charge, {
     key: request.key,
     attempt: request.attempt,
     replicaId,
--- a/packages/bendfall-router/src/entry/BendfallRouterPrefill.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterPrefill.ts
@@ -50,8 +50,8 @@
     return { type: 'run' }
   }
   const { belief: view, leadMs } = plan
-  const payment = paySend(context, request, view)
-  if (payment === 'closed' || payment === 'unpaid') return refuseUnpaid(request)
+  const charge = paySend(context, request, view)
+  if (charge === 'closed' || charge === 'unpaid') return refuseUnpaid(request)
   const { address, replicaId } = view.replica
   request.phase = 'prefill'
   request.attempt += 1
@@ -67,7 +67,7 @@
   view.prefillTokens += promptTokens
   view.prefillSinceLoad += promptTokens
   context.effects.push({ type: 'announce_prefill', replicaId, bookingId: request.prefillBookingId, promptTokens })
-  sendPrefill(context, request, payment, {
+  sendPrefill(context, request, charge, {
     key: request.key,
     attempt: request.attempt,
     replicaId,
--- a/packages/bendfall-router/src/entry/BendfallRouterRun.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterRun.ts
@@ -44,14 +44,14 @@
   if (request.handle !== undefined && request.handle.expiresAtMs <= context.nowMs) return repeatPrefill(context, request)
   const { address, replicaId } = view.replica
   const { handle, hold } = request
-  const payment = paySend(context, request, view)
-  if (payment === 'closed') return reserveElsewhere(context, request)
-  if (payment === 'unpaid') return refuseUnpaid(request)
+  const charge = paySend(context, request, view)
+  if (charge === 'closed') return reserveElsewhere(context, request)
+  if (charge === 'unpaid') return refuseUnpaid(request)
   noteSent(context, request, view, 'run')
   request.handle = undefined
   request.hold = undefined
   request.triedHandle = handle
-  sendRun(context, request, payment, {
+  sendRun(context, request, charge, {
     key: request.key,
     attempt: request.attempt,
     replicaId,
--- a/packages/bendfall-router/src/entry/BendfallRouterSend.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterSend.ts
@@ -71,8 +71,8 @@
  * @returns one for the run, plus one for a repeated prefill
  */
 export function sendsOfNextTry ({ account, handle, prompt, reading, route }: RequestState): number {
-  const readsApart = route.hasPrompt && prompt !== undefined && handle === undefined && reading === 'apart'
-  return readsApart && account.hasFreeRead ? 2 : 1
+  const usesPrefillPool = route.hasPrompt && prompt !== undefined && handle === undefined && reading === 'apart'
+  return usesPrefillPool && account.hasFreeRead ? 2 : 1
 }
 
 /**
@@ -80,12 +80,12 @@
  *
  * @param context - state, time and effects of the current event
  * @param request - request with the prompt
- * @param payment - what the send is charged to, for the log
+ * @param charge - what the send is charged to, for the log
  * @param effect - parameters of the send
  * @param inputs - inputs of the decision, for the log
  */
-export function sendPrefill (context: RouterContext, request: RequestState, payment: Payment, effect: Omit<RouterEffectOf<'send_prefill'>, 'type' | 'customer'>, inputs: DecisionInputs): void {
-  logDecision(context, request, 'prefill_sent', { ...inputs, ...chargeInputs(context, request, payment) })
+export function sendPrefill (context: RouterContext, request: RequestState, charge: Payment, effect: Omit<RouterEffectOf<'send_prefill'>, 'type' | 'customer'>, inputs: DecisionInputs): void {
+  logDecision(context, request, 'prefill_sent', { ...inputs, ...chargeInputs(context, request, charge) })
   context.effects.push({ type: 'send_prefill', ...effect, customer: request.customer?.name })
 }
 
@@ -94,17 +94,17 @@
  *
  * @param context - state, time and effects of the current event
  * @param request - request to run
- * @param payment - what the send is charged to, for the log
+ * @param charge - what the send is charged to, for the log
  * @param effect - parameters of the send
  * @param inputs - inputs of the decision, for the log
  */
-export function sendRun (context: RouterContext, request: RequestState, payment: Payment, effect: Omit<RouterEffectOf<'send_run'>, 'type' | 'customer'>, inputs: DecisionInputs): void {
-  logDecision(context, request, 'sent', { ...inputs, ...chargeInputs(context, request, payment) })
+export function sendRun (context: RouterContext, request: RequestState, charge: Payment, effect: Omit<RouterEffectOf<'send_run'>, 'type' | 'customer'>, inputs: DecisionInputs): void {
+  logDecision(context, request, 'sent', { ...inputs, ...chargeInputs(context, request, charge) })
   context.effects.push({ type: 'send_run', ...effect, customer: request.customer?.name })
 }
 
-function chargeInputs (context: RouterContext, { service }: RequestState, payment: Payment): DecisionInputs {
-  return payment === 'first' ? {} : { paidFrom: payment, retriesLeft: Math.floor(spareExtras(budgetOf(context, service), context.nowMs)) }
+function chargeInputs (context: RouterContext, { service }: RequestState, charge: Payment): DecisionInputs {
+  return charge === 'first' ? {} : { paidFrom: charge, retriesLeft: Math.floor(spareExtras(budgetOf(context, service), context.nowMs)) }
 }
 
 /**
@@ -121,9 +121,9 @@
   if (!isOpen(context, view)) return 'closed'
   if (request.account.counted > 0 && !coverSends(context, request, 1)) return 'unpaid'
   if (!usePermitOf(context, request, view)) return 'closed'
-  const payment = chargeBudget(context, request)
-  if (payment !== 'unpaid') noteRecentSend(view.recentSends, context.nowMs)
-  return payment
+  const charge = chargeBudget(context, request)
+  if (charge !== 'unpaid') noteRecentSend(view.recentSends, context.nowMs)
+  return charge
 }
 
 function chargeBudget (context: RouterContext, request: RequestState): Payment | 'unpaid' {
