--- a/packages/bendfall-router/src/entry/BendfallRouterPrefillQueue.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterPrefillQueue.ts
@@ -1,7 +1,6 @@
 /**
- * Has requests wait for a prefill replica before they book decode memory, so
- * that no memory is held for a prompt that lies in a queue, and those that can
- * be on time go first.
+ * Makes requests wait for a prefill slot before they book decode memory, so that no memory is held
+ * for a queued prompt. Requests that can still meet their target are served first.
  *
  * @module
  */
@@ -20,18 +19,17 @@
 import { dueMs, longestWaitMs, refuseMemory } from './BendfallRouterReserve.js'
 import type { RequestState } from './BendfallRouterRequest.js'
 
-/** Told to callers while most runs are refused: refusals of late count half by then. */
-const REFUSING_RETRY_MS = 2_000
+/** `Retry-After` while most runs are refused; recent refusals have decayed to half their weight by then. */
+const MOSTLY_REFUSED_RETRY_MS = 2_000
 
-/** With less than a prompt at a replica its queue need not be asked. */
-const FREE_BACKLOG_TOKENS = 3_000
+/** Backlog below which a prompt is sent without a queue slot: less than one prompt. */
+const NO_QUEUE_BACKLOG_TOKENS = 3_000
 
 /**
- * Asks for a place in the queue of the prefill replica that is likely to be
- * done first.
+ * Requests a slot in the queue of the prefill replica that is expected to finish first.
  *
- * @param context - of the event
- * @param request - the request, with a prompt
+ * @param context - state, time and effects of the current event
+ * @param request - request with a prompt
  * @returns the next step
  */
 export function startQueue (context: RouterContext, request: RequestState): NextStep {
@@ -43,23 +41,23 @@
   const refused = refuseBackoff(context, request, 'decode')
   if (refused !== undefined) return refused
   request.reading = chooseReading(context, request)
-  if (request.reading === 'apart' && !coverRuns(context, request)) return avoidReading(context, request)
+  if (request.reading === 'apart' && !coverRuns(context, request)) return avoidWastedPrefill(context, request)
   const plan = planPrefill(context, request)
   if (plan === undefined) return { type: 'reserve' }
   if (context.state.decisions.prefillSlots === 'none') return { type: 'reserve' }
-  const { belief } = plan
-  const backlogTokens = backlogOf(belief)
-  if (backlogTokens < FREE_BACKLOG_TOKENS || belief.ledgerDownUntilMs > context.nowMs) return { type: 'reserve' }
-  const leadMs = ownLeadMs(context, request, belief)
+  const { belief: view } = plan
+  const backlogTokens = backlogOf(view)
+  if (backlogTokens < NO_QUEUE_BACKLOG_TOKENS || view.ledgerDownUntilMs > context.nowMs) return { type: 'reserve' }
+  const leadMs = ownLeadMs(context, request, view)
   const maxWaitMs = longestWaitMs(context, request, leadMs)
   if (maxWaitMs <= 0) return { type: 'reserve' }
-  const { replicaId } = belief.replica
+  const { replicaId } = view.replica
   const promptTokens = request.prompt?.promptTokens ?? 0
   request.phase = 'queue'
   request.attempt += 1
   request.prefillSlot = { replicaId, bookingId: `${request.requestId}/${request.attempt}` }
-  belief.prefillSinceLoad += promptTokens
-  logDecision(context, request, 'prefill_queued', { replica: replicaId, backlogTokens, loadAgeMs: Math.round(context.nowMs - belief.loadAtMs), maxWaitMs: Math.round(maxWaitMs) })
+  view.prefillSinceLoad += promptTokens
+  logDecision(context, request, 'prefill_queued', { replica: replicaId, backlogTokens, loadAgeMs: Math.round(context.nowMs - view.loadAtMs), maxWaitMs: Math.round(maxWaitMs) })
   context.effects.push({
     type: 'queue_prefill',
     key: request.key,
@@ -74,21 +72,22 @@
   return undefined
 }
 
-// A replica that is to read the prompt itself refuses it before it has read any of it.
-function avoidReading (context: RouterContext, request: RequestState): NextStep {
+// A decode replica that processes the prompt itself refuses a run before any work on the prompt, so a
+// refusal wastes no prefill.
+function avoidWastedPrefill (context: RouterContext, request: RequestState): NextStep {
   logDecision(context, request, 'reading_avoided', { refusedShare: refusedShare(context, request.service) })
-  const canRead = !request.isReadingRefused && knownReplicas(context, request, 'decode').some((belief) => canReadNow(belief, request))
-  if (!canRead) return { type: 'refuse', status: request.runs > 0 ? 502 : 503, reason: 'replica_refused', retryAfterMs: REFUSING_RETRY_MS }
+  const canPrefillInPlace = !request.isReadingRefused && knownReplicas(context, request, 'decode').some((view) => canReadNow(view, request))
+  if (!canPrefillInPlace) return { type: 'refuse', status: request.runs > 0 ? 502 : 503, reason: 'replica_refused', retryAfterMs: MOSTLY_REFUSED_RETRY_MS }
   request.reading = 'in_place'
   return { type: 'reserve' }
 }
 
 /**
- * Takes the answer of the queue.
+ * Handles the response to a request for a prefill slot.
  *
- * @param context - of the event
- * @param request - the request
- * @param outcome - the answer
+ * @param context - state, time and effects of the current event
+ * @param request - request that waits for the slot
+ * @param outcome - response of the queue
  * @returns the next step
  */
 export function takeQueueAnswer (context: RouterContext, request: RequestState, outcome: ReserveOutcome): NextStep {
@@ -101,7 +100,7 @@
     return { type: 'queue' }
   }
   if (outcome.type === 'refused') return refuseMemory(context, request, outcome.retryAfterMs, 'prefill_busy')
-  const belief = context.state.replicas.get(replicaId)
-  if (belief !== undefined) noteLedgerLost(belief, context.nowMs)
+  const view = context.state.replicas.get(replicaId)
+  if (view !== undefined) noteLedgerLost(view, context.nowMs)
   return { type: 'reserve' }
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterRecentSends.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterRecentSends.ts
@@ -1,59 +1,59 @@
 /**
- * Counts the sends of an entry to a replica in the last second: what a limit that the
- * replica names then counts as well.
+ * Counts the sends of an entry to a replica in the last second with a sliding window. A rate limit
+ * that the replica advertises applies to these sends as well.
  *
  * @module
  */
 import { SENT_BEFORE_MS } from '../limits/BendfallRouterPermitKeeper.js'
 
-/** Spans that are counted apart. */
-const SPANS = 4
-const SPAN_MS = SENT_BEFORE_MS / SPANS
+/** Buckets of the sliding window. */
+const BUCKETS = 4
+const BUCKET_MS = SENT_BEFORE_MS / BUCKETS
 
-/** Sends to one replica. */
+/** Sliding window over the sends to one replica. */
 export interface RecentSends {
-  /** Number of the newest span. */
+  /** Sequence number of the newest bucket. */
   newest: number
-  /** By number of the span, modulo those that are kept: the last second and the span in which it began. */
+  /** Ring buffer of counts, indexed by sequence number modulo its length: one bucket more than a second, since the window starts inside a bucket. */
   readonly counts: number[]
 }
 
-/** @returns counts of a replica that was sent nothing */
+/** @returns a window without sends */
 export function createRecentSends (): RecentSends {
-  return { newest: -Infinity, counts: Array.from({ length: SPANS + 1 }, () => 0) }
+  return { newest: -Infinity, counts: Array.from({ length: BUCKETS + 1 }, () => 0) }
 }
 
 /**
- * Counts a send.
+ * Records a send.
  *
- * @param recent - changed in place
- * @param nowMs - the time
+ * @param recent - window of the replica, changed in place
+ * @param nowMs - monotonic time of the send
  */
 export function noteRecentSend (recent: RecentSends, nowMs: number): void {
-  turn(recent, nowMs)
-  const place = recent.newest % recent.counts.length
-  recent.counts[place] = (recent.counts[place] ?? 0) + 1
+  advance(recent, nowMs)
+  const index = recent.newest % recent.counts.length
+  recent.counts[index] = (recent.counts[index] ?? 0) + 1
 }
 
 /**
  * Counts the sends of the last second.
  *
- * @param recent - of the replica; absent: none
- * @param nowMs - the time
- * @returns sends; of the span in which the second began a part
+ * @param recent - window of the replica; undefined counts as no sends
+ * @param nowMs - monotonic time at which the second ends
+ * @returns number of sends; the bucket in which the second starts counts in proportion
  */
 export function countSent (recent: RecentSends | undefined, nowMs: number): number {
   if (recent === undefined) return 0
-  turn(recent, nowMs)
+  advance(recent, nowMs)
   const { counts, newest } = recent
   const oldest = counts[(newest + 1) % counts.length] ?? 0
-  const passedShare = nowMs / SPAN_MS - newest
-  return Math.round(counts.reduce((sum, count) => sum + count, 0) - oldest * passedShare)
+  const elapsedShare = nowMs / BUCKET_MS - newest
+  return Math.round(counts.reduce((sum, count) => sum + count, 0) - oldest * elapsedShare)
 }
 
-function turn (recent: RecentSends, nowMs: number): void {
-  const span = Math.floor(nowMs / SPAN_MS)
+function advance (recent: RecentSends, nowMs: number): void {
+  const bucket = Math.floor(nowMs / BUCKET_MS)
   const { counts, newest } = recent
-  for (let passed = Math.max(newest + 1, span - SPANS); passed <= span; passed++) counts[passed % counts.length] = 0
-  recent.newest = Math.max(newest, span)
+  for (let elapsed = Math.max(newest + 1, bucket - BUCKETS); elapsed <= bucket; elapsed++) counts[elapsed % counts.length] = 0
+  recent.newest = Math.max(newest, bucket)
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterRun.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterRun.ts
@@ -1,5 +1,6 @@
 /**
- * Runs a request with a prompt at the decode replica whose memory is booked.
+ * Runs a request with a prompt on the decode replica whose memory is booked, and handles its
+ * response, failure or timeout.
  *
  * @module
  */
@@ -15,42 +16,42 @@
 import { coverSends, noteSendFailed, paySend, refuseUnpaid, sendRun } from './BendfallRouterSend.js'
 import type { RequestState } from './BendfallRouterRequest.js'
 
-/** A second call that reads the prompt counts like the run. */
-const SENDS_TO_READ_AND_RUN = 2
+/** Sends of a repeated prefill and of the run; only the first prefill is free. */
+const PREFILL_AND_RUN_SENDS = 2
 
-/** Told to callers whose request every replica refused. */
+/** `Retry-After` for requests that every replica refused. */
 const REFUSED_RETRY_MS = 600
 
 /**
- * A run from the result of a prefill that may be repeated is given up without a
- * first event in this time: 99 of 100 have it within 55 ms.
+ * Timeout for the first event of a repeatable run that starts from a prefill result; 99 of 100
+ * arrive within 55 ms.
  */
 const FIRST_EVENT_TIMEOUT_MS = 300
 
-/** The same where the replica reads the prompt itself: this many times the expected length beyond that. */
-const READING_TIMEOUT_FACTOR = 2.5
+/** Added to that timeout for an in-place prefill, as a multiple of its predicted duration. */
+const IN_PLACE_TIMEOUT_FACTOR = 2.5
 
 /**
- * Sends the request to the replica whose memory is booked.
+ * Sends a request to the replica whose memory is booked.
  *
- * @param context - of the event
- * @param request - the request
+ * @param context - state, time and effects of the current event
+ * @param request - request with booked memory
  * @returns the next step
  */
 export function startRun (context: RouterContext, request: RequestState): NextStep {
-  const belief = context.state.replicas.get(request.reservedAt ?? '')
-  if (belief === undefined) return reserveElsewhere(context, request)
-  if (request.handle !== undefined && request.handle.expiresAtMs <= context.nowMs) return readAnew(context, request)
-  const { address, replicaId } = belief.replica
+  const view = context.state.replicas.get(request.reservedAt ?? '')
+  if (view === undefined) return reserveElsewhere(context, request)
+  if (request.handle !== undefined && request.handle.expiresAtMs <= context.nowMs) return repeatPrefill(context, request)
+  const { address, replicaId } = view.replica
   const { handle, hold } = request
-  const payment = paySend(context, request, belief)
-  if (payment === 'closed') return reserveElsewhere(context, request)
-  if (payment === 'unpaid') return refuseUnpaid(request)
-  noteSent(context, request, belief, 'run')
+  const charge = paySend(context, request, view)
+  if (charge === 'closed') return reserveElsewhere(context, request)
+  if (charge === 'unpaid') return refuseUnpaid(request)
+  noteSent(context, request, view, 'run')
   request.handle = undefined
   request.hold = undefined
   request.triedHandle = handle
-  sendRun(context, request, payment, {
+  sendRun(context, request, charge, {
     key: request.key,
     attempt: request.attempt,
     replicaId,
@@ -60,8 +61,8 @@
     source: handle === undefined ? undefined : `${handle.address}/${handle.handle}`,
     lastEventId: request.lastEventId,
     isStream: true,
-    tryTimeoutMs: tryTimeoutOf(context, request, handle !== undefined)
-  }, { replica: replicaId, prefillAt: handle?.replicaId, inFlight: belief.inFlight, registrationsAgeMs: registrationsAgeMs(context), attempt: request.attempt, lastEventId: request.lastEventId })
+    tryTimeoutMs: tryTimeoutMsOf(context, request, handle !== undefined)
+  }, { replica: replicaId, prefillAt: handle?.replicaId, inFlight: view.inFlight, registrationsAgeMs: registrationsAgeMs(context), attempt: request.attempt, lastEventId: request.lastEventId })
   return undefined
 }
 
@@ -70,32 +71,32 @@
   return { type: 'reserve' }
 }
 
-// Sent with a result that is gone, it would be refused as if there were no memory, and be tried
-// with the same one elsewhere.
-function readAnew (context: RouterContext, request: RequestState): NextStep {
+// A run with an expired prefill result would be refused as if memory were missing, and would then be
+// retried elsewhere with the same result.
+function repeatPrefill (context: RouterContext, request: RequestState): NextStep {
   logDecision(context, request, 'result_lapsed', { replica: request.handle?.replicaId })
   leaveHandle(context, request)
-  return coverSends(context, request, SENDS_TO_READ_AND_RUN) ? { type: 'prefill' } : refuseUnpaid(request)
+  return coverSends(context, request, PREFILL_AND_RUN_SENDS) ? { type: 'prefill' } : refuseUnpaid(request)
 }
 
-function tryTimeoutOf ({ state }: RouterContext, request: RequestState, isRead: boolean): number | undefined {
+function tryTimeoutMsOf ({ state }: RouterContext, request: RequestState, isPrefilled: boolean): number | undefined {
   if (!mayRunAgain(request) || request.runs >= request.route.maxAttempts) return undefined
-  return FIRST_EVENT_TIMEOUT_MS + (isRead ? 0 : READING_TIMEOUT_FACTOR * readInPlaceMs(state, request))
+  return FIRST_EVENT_TIMEOUT_MS + (isPrefilled ? 0 : IN_PLACE_TIMEOUT_FACTOR * readInPlaceMs(state, request))
 }
 
 /**
- * Takes the end of a whole answer.
+ * Handles the complete response to a run and ends the request.
  *
- * @param context - of the event
- * @param request - the request
- * @param event - the answer
+ * @param context - state, time and effects of the current event
+ * @param request - request that was run
+ * @param event - status and output of the response
  * @returns the next step
  */
 export function takeRunAnswer (context: RouterContext, request: RequestState, event: RouterEventOf<'answer_complete'>): NextStep {
   const replica = request.runAt
-  const belief = context.state.replicas.get(replica ?? '')
-  if (belief !== undefined && event.status < 500) noteSuccess(belief)
-  if (belief !== undefined && event.status >= 500) noteFailure(belief, context.nowMs)
+  const view = context.state.replicas.get(replica ?? '')
+  if (view !== undefined && event.status < 500) noteSuccess(view)
+  if (view !== undefined && event.status >= 500) noteFailure(view, context.nowMs)
   leaveRun(context, request)
   context.effects.push({ type: 'deliver', key: request.key })
   endAnswered(context, request, { status: event.status, replica, events: event.outputEvents, longestGapMs: event.longestGapMs })
@@ -103,20 +104,20 @@
 }
 
 /**
- * Takes the failure of a run: it is tried elsewhere where that is allowed,
- * from the prefill's result while that lasts.
+ * Handles a failed run: retries it on another replica where that is allowed, reusing the prefill
+ * result while that is valid.
  *
- * @param context - of the event
- * @param request - the request
- * @param event - how it failed
+ * @param context - state, time and effects of the current event
+ * @param request - request that was run
+ * @param event - how the run failed, and the last event that was delivered
  * @returns the next step
  */
 export function takeRunFailure (context: RouterContext, request: RequestState, event: RouterEventOf<'run_failed'>): NextStep {
   const { failure } = event
   const replicaId = request.runAt ?? ''
-  const belief = context.state.replicas.get(replicaId)
+  const view = context.state.replicas.get(replicaId)
   if (failure === 'connection_lost') noteConnectionLost(context, request)
-  if (belief !== undefined && failure !== 'not_run') noteFailure(belief, context.nowMs, failure)
+  if (view !== undefined && failure !== 'not_run') noteFailure(view, context.nowMs, failure)
   if (hasNotRun(failure)) request.runs -= 1
   if (failure === 'not_run') noteRun(context, request.service, 'refused')
   noteSendFailed(context, request, failure)
@@ -127,19 +128,19 @@
   leaveRun(context, request)
   leaveReservation(context, request)
   keepHandle(context, request, failure)
-  const mayGoOn = !request.isCommitted || context.state.decisions.resume === 'elsewhere'
-  if (mayGoOn && takeRetry(context, request, failure)) return { type: 'reserve' }
+  const mayResume = !request.isCommitted || context.state.decisions.resume === 'elsewhere'
+  if (mayResume && takeRetry(context, request, failure)) return { type: 'reserve' }
   if (request.isCommitted) return { type: 'cut', reason: 'replica_failed' }
   if (request.runs > 0) return { type: 'refuse', status: 502, reason: 'replica_failed' }
   return { type: 'refuse', status: 503, reason: 'replica_refused', retryAfterMs: REFUSED_RETRY_MS }
 }
 
 /**
- * Takes a run that has not begun to answer in time: its connection is closed, so
- * that the replica drops it, before it is tried elsewhere.
+ * Handles a run whose response has not started in time. Closes its connection first, so that the
+ * replica drops the run before it is retried elsewhere.
  *
- * @param context - of the event
- * @param request - the request
+ * @param context - state, time and effects of the current event
+ * @param request - request that timed out
  * @returns the next step
  */
 export function takeRunTimeout (context: RouterContext, request: RequestState): NextStep {
@@ -147,8 +148,8 @@
   return takeRunFailure(context, request, { type: 'run_failed', atMs: context.nowMs, key: request.key, attempt: request.attempt, failure: 'unknown' })
 }
 
-// A handle can be taken once: only a replica that was not reached, or that
-// refused for want of memory, leaves it usable.
+// A handle can be used once. It stays valid only if the replica was not reached or refused the run
+// for lack of memory.
 function keepHandle (context: RouterContext, request: RequestState, failure: SendFailure): void {
   const { triedHandle } = request
   request.triedHandle = undefined
--- a/packages/bendfall-router/src/entry/BendfallRouterSend.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterSend.ts
@@ -1,7 +1,7 @@
 /**
- * The one place through which requests are sent to replicas. Each send that arrives counts,
- * also one that is refused there; all but the first of a request are extra, and paid before
- * they are made. Only the first call that has the prompt read is free.
+ * Sends all requests to replicas and charges them to the retry budget. Each send that arrives
+ * counts, even if the replica refuses it. All but the first of a request are extra sends, which are
+ * charged before they are made. Only the first prefill call of a request is free.
  *
  * @module
  */
@@ -16,39 +16,39 @@
 import type { RequestState } from './BendfallRouterRequest.js'
 import type { ReplicaBelief } from './BendfallRouterState.js'
 
-/** Told to callers for whose request no further send may be paid. */
-const UNPAID_RETRY_MS = 1_000
+/** `Retry-After` when the retry budget is exhausted. */
+const BUDGET_RETRY_MS = 1_000
 
-/** What the sends of a request were paid from. */
+/** Account of the sends of one request that count against the retry budget. */
 export interface SendAccount {
-  /** Sends that arrived or may have, without the free one. */
+  /** Sends that arrived or may have arrived, except the free one. */
   counted: number
-  /** Extra sends that the budget has promised. */
+  /** Extra sends reserved in the retry budget. */
   promised: number
-  /** Whether a replica has read the prompt, so that another call for it counts. */
+  /** Whether the free prefill is used up, so that another prefill call counts. */
   hasFreeRead: boolean
-  /** When the last send was paid from the budget; absent when it was the first one. */
+  /** When the last send was charged to the budget; absent if it was the first one. */
   extraMadeAtMs?: number
 }
 
-/** @returns the account of a request that was not sent yet */
+/** @returns account of a request that has not been sent yet */
 export function createAccount (): SendAccount {
   return { counted: 0, promised: 0, hasFreeRead: false }
 }
 
-/** How a send was paid: as the first of its request, or from the budget. */
+/** What a send is charged to: nothing, as the first of its request, or the retry budget. */
 export type Payment = 'first' | 'budget'
 
-/** Why a send must not be made: nothing is left to pay it with, or its replica takes none. */
+/** Why a send must not be made: the budget is exhausted, or its replica accepts no sends. */
 export type Unsent = 'unpaid' | 'closed'
 
 /**
- * Has the next sends of a request promised before the first of them is made.
+ * Reserves retry budget for the next sends of a request before the first of them is made.
  *
- * @param context - of the event
- * @param request - the request
- * @param sends - how many of them count
- * @returns whether all may be made
+ * @param context - state, time and effects of the current event
+ * @param request - request to be sent
+ * @param sends - number of sends that count against the budget
+ * @returns true if all are reserved; false if the budget does not suffice
  */
 export function coverSends (context: RouterContext, request: RequestState, sends: number): boolean {
   const { account } = request
@@ -65,68 +65,68 @@
 }
 
 /**
- * Counts the sends of the next try of a request.
+ * Counts the chargeable sends of the next attempt of a request.
  *
- * @param request - the request
- * @returns one for the run, and one for another call that reads the prompt
+ * @param request - request to be retried
+ * @returns one for the run, plus one for a repeated prefill
  */
 export function sendsOfNextTry ({ account, handle, prompt, reading, route }: RequestState): number {
-  const readsApart = route.hasPrompt && prompt !== undefined && handle === undefined && reading === 'apart'
-  return readsApart && account.hasFreeRead ? 2 : 1
+  const usesPrefillPool = route.hasPrompt && prompt !== undefined && handle === undefined && reading === 'apart'
+  return usesPrefillPool && account.hasFreeRead ? 2 : 1
 }
 
 /**
- * Sends a prompt to be read.
+ * Sends the prompt of a request to a prefill replica.
  *
- * @param context - of the event
- * @param request - the request
- * @param payment - of this send
- * @param effect - the send
- * @param inputs - what decided it
+ * @param context - state, time and effects of the current event
+ * @param request - request with the prompt
+ * @param charge - what the send is charged to, for the log
+ * @param effect - parameters of the send
+ * @param inputs - inputs of the decision, for the log
  */
-export function sendPrefill (context: RouterContext, request: RequestState, payment: Payment, effect: Omit<RouterEffectOf<'send_prefill'>, 'type' | 'customer'>, inputs: DecisionInputs): void {
-  logDecision(context, request, 'prefill_sent', { ...inputs, ...paymentInputs(context, request, payment) })
+export function sendPrefill (context: RouterContext, request: RequestState, charge: Payment, effect: Omit<RouterEffectOf<'send_prefill'>, 'type' | 'customer'>, inputs: DecisionInputs): void {
+  logDecision(context, request, 'prefill_sent', { ...inputs, ...chargeInputs(context, request, charge) })
   context.effects.push({ type: 'send_prefill', ...effect, customer: request.customer?.name })
 }
 
 /**
- * Sends a request to run.
+ * Sends a request to a replica that runs it.
  *
- * @param context - of the event
- * @param request - the request
- * @param payment - of this send
- * @param effect - the send
- * @param inputs - what decided it
+ * @param context - state, time and effects of the current event
+ * @param request - request to run
+ * @param charge - what the send is charged to, for the log
+ * @param effect - parameters of the send
+ * @param inputs - inputs of the decision, for the log
  */
-export function sendRun (context: RouterContext, request: RequestState, payment: Payment, effect: Omit<RouterEffectOf<'send_run'>, 'type' | 'customer'>, inputs: DecisionInputs): void {
-  logDecision(context, request, 'sent', { ...inputs, ...paymentInputs(context, request, payment) })
+export function sendRun (context: RouterContext, request: RequestState, charge: Payment, effect: Omit<RouterEffectOf<'send_run'>, 'type' | 'customer'>, inputs: DecisionInputs): void {
+  logDecision(context, request, 'sent', { ...inputs, ...chargeInputs(context, request, charge) })
   context.effects.push({ type: 'send_run', ...effect, customer: request.customer?.name })
 }
 
-function paymentInputs (context: RouterContext, { service }: RequestState, payment: Payment): DecisionInputs {
-  return payment === 'first' ? {} : { paidFrom: payment, retriesLeft: Math.floor(spareExtras(budgetOf(context, service), context.nowMs)) }
+function chargeInputs (context: RouterContext, { service }: RequestState, charge: Payment): DecisionInputs {
+  return charge === 'first' ? {} : { paidFrom: charge, retriesLeft: Math.floor(spareExtras(budgetOf(context, service), context.nowMs)) }
 }
 
 /**
- * Pays for a send, just before it is made. A replica that leaves or backs off is sent
- * nothing, whatever was booked there before it said so, and one that names a limit no more
- * than permits were leased for.
+ * Charges a send just before it is made. Blocks sends to a replica that is leaving or asks for
+ * backoff, even if memory was booked there before, and sends beyond the leased permits of a replica
+ * with a rate limit.
  *
- * @param context - of the event
- * @param request - the request
- * @param belief - about the replica
- * @returns how it was paid, or why it must not be made
+ * @param context - state, time and effects of the current event
+ * @param request - request to send
+ * @param view - replica that the send goes to
+ * @returns what the send is charged to, or why it must not be made
  */
-export function paySend (context: RouterContext, request: RequestState, belief: ReplicaBelief): Payment | Unsent {
-  if (!isOpen(context, belief)) return 'closed'
+export function paySend (context: RouterContext, request: RequestState, view: ReplicaBelief): Payment | Unsent {
+  if (!isOpen(context, view)) return 'closed'
   if (request.account.counted > 0 && !coverSends(context, request, 1)) return 'unpaid'
-  if (!usePermitOf(context, request, belief)) return 'closed'
-  const payment = payFromBudget(context, request)
-  if (payment !== 'unpaid') noteRecentSend(belief.recentSends, context.nowMs)
-  return payment
+  if (!usePermitOf(context, request, view)) return 'closed'
+  const charge = chargeBudget(context, request)
+  if (charge !== 'unpaid') noteRecentSend(view.recentSends, context.nowMs)
+  return charge
 }
 
-function payFromBudget (context: RouterContext, request: RequestState): Payment | 'unpaid' {
+function chargeBudget (context: RouterContext, request: RequestState): Payment | 'unpaid' {
   const { account } = request
   account.extraMadeAtMs = undefined
   if (account.counted === 0) {
@@ -144,41 +144,41 @@
 }
 
 /**
- * Ends a request for whose next send the budget does not suffice.
+ * Refuses a request whose next send exceeds the retry budget.
  *
- * @param request - the request
+ * @param request - request to refuse; a response that has started is cut instead
  * @returns the next step
  */
 export function refuseUnpaid (request: RequestState): NextStep {
   if (request.isCommitted) return { type: 'cut', reason: 'budget' }
   if (request.runs > 0) return { type: 'refuse', status: 502, reason: 'replica_failed' }
-  return { type: 'refuse', status: 503, reason: 'budget', retryAfterMs: UNPAID_RETRY_MS }
+  return { type: 'refuse', status: 503, reason: 'budget', retryAfterMs: BUDGET_RETRY_MS }
 }
 
 /**
- * Notes that a replica has read the prompt: the first such call is free.
+ * Records that a prefill call was processed. Refunds the first one of a request, which is free.
  *
- * @param context - of the event
- * @param request - the request
+ * @param context - state, time and effects of the current event
+ * @param request - request that the prefill belongs to
  */
 export function noteRead (context: RouterContext, request: RequestState): void {
   if (request.account.hasFreeRead) return
   request.account.hasFreeRead = true
-  takeBack(context, request)
+  refundSend(context, request)
 }
 
 /**
- * Notes how a send failed: one that did not arrive is not counted.
+ * Records a failed send. Refunds it if it did not reach the replica.
  *
- * @param context - of the event
- * @param request - the request
- * @param failure - how the last send failed
+ * @param context - state, time and effects of the current event
+ * @param request - request whose send failed
+ * @param failure - how the send failed
  */
 export function noteSendFailed (context: RouterContext, request: RequestState, failure: SendFailure): void {
-  if (failure === 'not_sent') takeBack(context, request)
+  if (failure === 'not_sent') refundSend(context, request)
 }
 
-function takeBack (context: RouterContext, request: RequestState): void {
+function refundSend (context: RouterContext, request: RequestState): void {
   const { account } = request
   account.counted -= 1
   if (account.extraMadeAtMs === undefined) return
@@ -188,10 +188,10 @@
 }
 
 /**
- * Gives back what was promised to a request that ends.
+ * Returns the reserved sends of a request that ends to the retry budget.
  *
- * @param context - of the event
- * @param request - the request
+ * @param context - state, time and effects of the current event
+ * @param request - request that ends
  */
 export function leavePromises (context: RouterContext, request: RequestState): void {
   if (request.account.promised === 0) return
--- a/packages/bendfall-router/src/entry/BendfallRouterSubset.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterSubset.ts
@@ -1,6 +1,6 @@
 /**
- * The model replicas that one entry uses, so that its connections do not grow with
- * the fleet; each replica is used by as many entries as any other, but for chance.
+ * Selects the model replicas that one entry uses, so that its number of connections does not grow
+ * with the fleet. On average each replica is used by the same number of entries.
  *
  * @module
  */
@@ -8,13 +8,13 @@
 import { hasSaidLeaving } from '../notices/BendfallRouterNotices.js'
 import type { ReplicaBelief, RouterState } from './BendfallRouterState.js'
 
-/** Replicas of one service and pool that an entry uses at most: all of the users' small deployments. */
+/** Maximum number of replicas that an entry uses per service and pool; covers the users' small deployments completely. */
 export const SUBSET_SIZE = 12
 
 /**
- * Chooses the subset anew if a replica came, went, drains or changed its pool.
+ * Recomputes the subset if a replica was added or removed, started to drain or changed its pool.
  *
- * @param state - changed in place
+ * @param state - state of the entry, changed in place
  */
 export function chooseSubset (state: RouterState): void {
   if (!state.isSubsetStale) return
@@ -22,29 +22,29 @@
   state.subset.clear()
   state.usedByService.clear()
   const groups = new Map<string, ReplicaBelief[]>()
-  for (const belief of state.replicas.values()) {
-    if (belief.replica.stage === 'plain') use(state, belief)
-    else if (!belief.replica.isDraining && !hasSaidLeaving(state.notices, nameProcess(belief.replica))) addTo(groups, `${belief.replica.service} ${belief.replica.stage}`, belief)
+  for (const view of state.replicas.values()) {
+    if (view.replica.stage === 'plain') addToService(state, view)
+    else if (!view.replica.isDraining && !hasSaidLeaving(state.notices, nameProcess(view.replica))) addTo(groups, `${view.replica.service} ${view.replica.stage}`, view)
   }
   for (const group of groups.values()) {
-    for (const belief of bestOf(group)) {
-      state.subset.add(belief.replica.replicaId)
-      use(state, belief)
+    for (const view of selectBest(group)) {
+      state.subset.add(view.replica.replicaId)
+      addToService(state, view)
     }
   }
 }
 
-function use ({ usedByService }: RouterState, belief: ReplicaBelief): void {
-  addTo(usedByService, belief.replica.service, belief)
+function addToService ({ usedByService }: RouterState, view: ReplicaBelief): void {
+  addTo(usedByService, view.replica.service, view)
 }
 
-function addTo (groups: Map<string, ReplicaBelief[]>, name: string, belief: ReplicaBelief): void {
+function addTo (groups: Map<string, ReplicaBelief[]>, name: string, view: ReplicaBelief): void {
   const group = groups.get(name)
-  if (group === undefined) groups.set(name, [belief])
-  else group.push(belief)
+  if (group === undefined) groups.set(name, [view])
+  else group.push(view)
 }
 
-function bestOf (group: readonly ReplicaBelief[]): readonly ReplicaBelief[] {
+function selectBest (group: readonly ReplicaBelief[]): readonly ReplicaBelief[] {
   if (group.length <= SUBSET_SIZE) return group
   return [...group].sort((a, b) => b.subsetScore - a.subsetScore).slice(0, SUBSET_SIZE)
 }
