--- a/packages/bendfall-router/src/entry/BendfallRouterBudget.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterBudget.ts
@@ -33,9 +33,9 @@
   readonly requests: number[]
   readonly extraSends: number[]
   /** Number of the newest bucket. */
-  newest: number
+  newestBucket: number
   /** Extra sends that are reserved for requests and not sent yet. */
-  promised: number
+  reservedSends: number
 }
 
 /**
@@ -47,7 +47,7 @@
  */
 export function createBudget (nowMs: number, limits: BudgetLimits = DEFAULT_BUDGET_LIMITS): RetryBudget {
   const zeros = (): number[] => Array.from({ length: KEPT_BUCKETS }, () => 0)
-  return { limits, requests: zeros(), extraSends: zeros(), newest: bucketOf(limits, nowMs), promised: 0 }
+  return { limits, requests: zeros(), extraSends: zeros(), newestBucket: bucketOf(limits, nowMs), reservedSends: 0 }
 }
 
 /**
@@ -58,7 +58,7 @@
  */
 export function countRequest (budget: RetryBudget, nowMs: number): void {
   advanceWindow(budget, nowMs)
-  budget.requests[indexOfBucket(budget.newest)] += 1
+  budget.requests[indexOfBucket(budget.newestBucket)] += 1
 }
 
 /**
@@ -69,9 +69,9 @@
  * @param count - number of extra sends
  * @returns whether all of them were reserved
  */
-export function promiseExtras (budget: RetryBudget, nowMs: number, count: number): boolean {
-  if (spareExtras(budget, nowMs) < count) return false
-  budget.promised += count
+export function reserveExtraSends (budget: RetryBudget, nowMs: number, count: number): boolean {
+  if (availableExtraSends(budget, nowMs) < count) return false
+  budget.reservedSends += count
   return true
 }
 
@@ -81,8 +81,8 @@
  * @param budget - changed in place
  * @param count - number of extra sends
  */
-export function dropPromises (budget: RetryBudget, count: number): void {
-  budget.promised -= count
+export function cancelReservedSends (budget: RetryBudget, count: number): void {
+  budget.reservedSends -= count
 }
 
 /**
@@ -93,11 +93,11 @@
  * @param nowMs - current time
  * @returns whether the send is still within the budget
  */
-export function makeExtra (budget: RetryBudget, nowMs: number): boolean {
+export function spendExtraSend (budget: RetryBudget, nowMs: number): boolean {
   advanceWindow(budget, nowMs)
-  budget.promised -= 1
+  budget.reservedSends -= 1
   if (remainingExtraSends(budget) < 1) return false
-  budget.extraSends[indexOfBucket(budget.newest)] += 1
+  budget.extraSends[indexOfBucket(budget.newestBucket)] += 1
   return true
 }
 
@@ -108,11 +108,11 @@
  * @param nowMs - current time
  * @param sentAtMs - when it was spent
  */
-export function undoExtra (budget: RetryBudget, nowMs: number, sentAtMs: number): void {
+export function refundExtraSend (budget: RetryBudget, nowMs: number, sentAtMs: number): void {
   advanceWindow(budget, nowMs)
-  budget.promised += 1
+  budget.reservedSends += 1
   const bucket = bucketOf(budget.limits, sentAtMs)
-  if (bucket > budget.newest - KEPT_BUCKETS) budget.extraSends[indexOfBucket(bucket)] -= 1
+  if (bucket > budget.newestBucket - KEPT_BUCKETS) budget.extraSends[indexOfBucket(bucket)] -= 1
 }
 
 /**
@@ -122,20 +122,20 @@
  * @param nowMs - current time
  * @returns extra sends, not rounded; negative when the requests that allowed some have left the windows
  */
-export function spareExtras (budget: RetryBudget, nowMs: number): number {
+export function availableExtraSends (budget: RetryBudget, nowMs: number): number {
   advanceWindow(budget, nowMs)
-  return remainingExtraSends(budget) - budget.promised
+  return remainingExtraSends(budget) - budget.reservedSends
 }
 
 // Minimum over all windows that contain the newest bucket, by the bucket in which they begin. All extra sends of that
 // first bucket count. Its requests are in the window or in the one before; some requests of the first bucket of the
 // window before may be too old, so none of them count.
-function remainingExtraSends ({ extraSends, limits, newest, requests }: RetryBudget): number {
+function remainingExtraSends ({ extraSends, limits, newestBucket, requests }: RetryBudget): number {
   let extras = 0
   let requestCount = 0
-  for (let bucket = newest; bucket > newest - BUCKETS_PER_WINDOW; bucket--) requestCount += requests[indexOfBucket(bucket)]
+  for (let bucket = newestBucket; bucket > newestBucket - BUCKETS_PER_WINDOW; bucket--) requestCount += requests[indexOfBucket(bucket)]
   let remaining = Infinity
-  for (let start = newest; start >= newest - BUCKETS_PER_WINDOW; start--) {
+  for (let start = newestBucket; start >= newestBucket - BUCKETS_PER_WINDOW; start--) {
     extras += extraSends[indexOfBucket(start)]
     remaining = Math.min(remaining, limits.ratio * requestCount / 2 + limits.reserve - extras)
     requestCount += requests[indexOfBucket(start - BUCKETS_PER_WINDOW)]
@@ -145,12 +145,12 @@
 
 function advanceWindow (budget: RetryBudget, nowMs: number): void {
   const bucket = bucketOf(budget.limits, nowMs)
-  const passed = Math.min(KEPT_BUCKETS, bucket - budget.newest)
+  const passed = Math.min(KEPT_BUCKETS, bucket - budget.newestBucket)
   for (let i = 1; i <= passed; i++) {
     budget.requests[indexOfBucket(bucket - passed + i)] = 0
     budget.extraSends[indexOfBucket(bucket - passed + i)] = 0
   }
-  budget.newest = Math.max(bucket, budget.newest)
+  budget.newestBucket = Math.max(bucket, budget.newestBucket)
 }
 
 function bucketOf ({ windowMs }: BudgetLimits, nowMs: number): number {
--- a/packages/bendfall-router/src/entry/BendfallRouterCallerWaits.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterCallerWaits.ts
@@ -51,7 +51,7 @@
  * @param nowMs - current time
  * @returns milliseconds since the first try; 0 for a caller that waits as long as most
  */
-export function noteCallerWait (waits: CallerWaits, waitMs: number, nowMs: number): number {
+export function recordCallerWait (waits: CallerWaits, waitMs: number, nowMs: number): number {
   if (waits.recentWaitsMs.length < MIN_RECORDED_WAITS || nowMs >= waits.retriesUntilMs) {
     waits.recentWaitsMs[waits.nextIndex] = waitMs
     waits.nextIndex = (waits.nextIndex + 1) % MAX_RECORDED_WAITS
@@ -65,7 +65,7 @@
  * @param waits - record of the caller's route, changed in place
  * @param nowMs - current time
  */
-export function noteCallerRefused (waits: CallerWaits, nowMs: number): void {
+export function recordCallerRefused (waits: CallerWaits, nowMs: number): void {
   waits.retriesUntilMs = nowMs + RETRY_PERIOD_MS
 }
 
--- a/packages/bendfall-router/src/entry/BendfallRouterConfirm.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterConfirm.ts
@@ -6,7 +6,7 @@
  */
 import type { NextStep, RouterContext } from './BendfallRouterContext.js'
 import { logDecision } from './BendfallRouterContext.js'
-import { leaveReservation } from './BendfallRouterEnd.js'
+import { releaseReservation } from './BendfallRouterEnd.js'
 import type { ConfirmOutcome } from './BendfallRouterEvents.js'
 import type { RequestState } from './BendfallRouterRequest.js'
 
@@ -21,7 +21,7 @@
  * @returns `run` if no confirmation is needed or possible; undefined while waiting for the ledger
  */
 export function startConfirm (context: RouterContext, request: RequestState): NextStep {
-  const view = context.state.replicas.get(request.reservedAt ?? '')
+  const view = context.state.replicas.get(request.reservedReplicaId ?? '')
   // Memory held by the replica itself is free. Its ledger may be back by now, but has no booking for it.
   const isSkipped = context.state.decisions.confirm === 'none' || request.hold !== undefined || (view?.ledgerDownUntilMs ?? Infinity) > context.nowMs
   if (isSkipped || view === undefined || request.handle === undefined || request.bookingId === undefined) return { type: 'run' }
@@ -46,10 +46,10 @@
  * @param outcome - whether the memory is free
  * @returns `run`, or `reserve` to book memory at another replica
  */
-export function takeConfirmAnswer (context: RouterContext, request: RequestState, outcome: ConfirmOutcome): NextStep {
+export function handleConfirmAnswer (context: RouterContext, request: RequestState, outcome: ConfirmOutcome): NextStep {
   if (outcome !== 'occupied') return { type: 'run' }
-  logDecision(context, request, 'memory_occupied', { replica: request.reservedAt })
-  if (request.reservedAt !== undefined) request.excluded.add(request.reservedAt)
-  leaveReservation(context, request)
+  logDecision(context, request, 'memory_occupied', { replica: request.reservedReplicaId })
+  if (request.reservedReplicaId !== undefined) request.excluded.add(request.reservedReplicaId)
+  releaseReservation(context, request)
   return { type: 'reserve' }
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterContext.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterContext.ts
@@ -6,7 +6,7 @@
  */
 import { drawUnit } from 'bendfall-core'
 import type { RequestState } from './BendfallRouterRequest.js'
-import type { ReplicaBelief, RouterState } from './BendfallRouterState.js'
+import type { ReplicaView, RouterState } from './BendfallRouterState.js'
 import type { DecisionInputs, EndReason, RouterEffect } from './BendfallRouterEffects.js'
 import { createBudget } from './BendfallRouterBudget.js'
 import type { RetryBudget } from './BendfallRouterBudget.js'
@@ -95,16 +95,16 @@
  * @param view - view of the replica
  * @param phase - phase that the request is in from now on
  */
-export function noteSent ({ nowMs }: RouterContext, request: RequestState, view: ReplicaBelief, phase: 'plain' | 'run'): void {
+export function recordSent ({ nowMs }: RouterContext, request: RequestState, view: ReplicaView, phase: 'plain' | 'run'): void {
   const { startedAtMs, replicaId } = view.replica
   request.phase = phase
   request.attempt += 1
   request.runs += 1
   request.sends += 1
-  request.runAt = replicaId
+  request.runReplicaId = replicaId
   request.sentTo = { replicaId, startedAtMs }
   request.runSentAtMs = nowMs
-  request.answersSinceMs = undefined
+  request.answerStartedAtMs = undefined
   view.inFlight += 1
 }
 
--- a/packages/bendfall-router/src/entry/BendfallRouterCrashes.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterCrashes.ts
@@ -5,8 +5,8 @@
  * @module
  */
 import { countCrashes, countSuspicions } from '../crashes/BendfallRouterCrashCount.js'
-import { forgetCrashes, nameProcess, noteAnswering, noteEnded, noteLost, noteServed, readReplicaId } from '../crashes/BendfallRouterCrashRecords.js'
-import { makeReport, takeReport } from '../crashes/BendfallRouterCrashReport.js'
+import { clearCrashRecords, formatProcessName, recordAcceptedConnection, recordCrash, addLostProcess, recordServed, parseReplicaId } from '../crashes/BendfallRouterCrashRecords.js'
+import { createCrashReport, mergeCrashReport } from '../crashes/BendfallRouterCrashReport.js'
 import type { ReplicaProcess } from '../crashes/BendfallRouterCrashRecords.js'
 import type { NextStep, RouterContext } from './BendfallRouterContext.js'
 import { logDecision } from './BendfallRouterContext.js'
@@ -32,19 +32,19 @@
  * @param context - context of the current event
  * @param request - request whose connection was lost
  */
-export function noteConnectionLost (context: RouterContext, request: RequestState): void {
+export function recordConnectionLost (context: RouterContext, request: RequestState): void {
   const { effects, nowMs, state } = context
   const { sentTo } = request
   if (sentTo === undefined) return
   const suspect = isSuspect(context, request) ? { fingerprint: request.fingerprint, sentAtMs: request.runSentAtMs ?? nowMs } : undefined
-  const needsCheck = noteLost(state.crashes, sentTo, suspect, nowMs)
+  const needsCheck = addLostProcess(state.crashes, sentTo, suspect, nowMs)
   const replica = state.replicas.get(sentTo.replicaId)?.replica
-  if (replica === undefined || replica.startedAtMs !== sentTo.startedAtMs) return noteProcessEnded(context, sentTo, 'registration')
+  if (replica === undefined || replica.startedAtMs !== sentTo.startedAtMs) return recordProcessEnded(context, sentTo, 'registration')
   if (needsCheck) effects.push({ type: 'check_replica', replicaId: sentTo.replicaId, startedAtMs: sentTo.startedAtMs, address: replica.address })
 }
 
-function isSuspect ({ nowMs }: RouterContext, { answersSinceMs }: RequestState): boolean {
-  return answersSinceMs === undefined || nowMs - answersSinceMs < MIN_HEALTHY_RUN_MS
+function isSuspect ({ nowMs }: RouterContext, { answerStartedAtMs }: RequestState): boolean {
+  return answerStartedAtMs === undefined || nowMs - answerStartedAtMs < MIN_HEALTHY_RUN_MS
 }
 
 /**
@@ -54,10 +54,10 @@
  * @param context - context of the current event
  * @param event - outcome of the check, with the replica's process
  */
-export function takeReplicaCheck (context: RouterContext, { outcome, replicaId, startedAtMs }: RouterEventOf<'replica_checked'>): void {
+export function handleReplicaCheck (context: RouterContext, { outcome, replicaId, startedAtMs }: RouterEventOf<'replica_checked'>): void {
   const process = { replicaId, startedAtMs }
-  if (outcome !== 'alive') return noteProcessEnded(context, process, outcome === 'ended' ? 'connection_refused' : 'no_connection')
-  noteAnswering(context.state.crashes, process)
+  if (outcome !== 'alive') return recordProcessEnded(context, process, outcome === 'ended' ? 'connection_refused' : 'no_connection')
+  recordAcceptedConnection(context.state.crashes, process)
   context.effects.push({ type: 'log', decision: 'connections_lost', requestId: '', inputs: { replica: replicaId } })
 }
 
@@ -68,9 +68,9 @@
  * @param process - process that has ended
  * @param sign - how this was detected
  */
-export function noteProcessEnded (context: RouterContext, process: ReplicaProcess, sign: 'connection_refused' | 'no_connection' | 'registration'): void {
+export function recordProcessEnded (context: RouterContext, process: ReplicaProcess, sign: 'connection_refused' | 'no_connection' | 'registration'): void {
   const { effects, nowMs, state } = context
-  const suspects = noteEnded(state.crashes, process, nowMs)
+  const suspects = recordCrash(state.crashes, process, nowMs)
   if (suspects === undefined) return
   effects.push({ type: 'log', decision: 'replica_crashed', requestId: '', inputs: { replica: process.replicaId, startedAtMs: process.startedAtMs, sign, suspects: suspects.length, fingerprints: suspects.slice(0, MAX_LOGGED_NAMES).join(' ') } })
   if (suspects.length > 0) publishCrashes(context)
@@ -82,8 +82,8 @@
  * @param context - context of the current event
  * @param request - request that was served
  */
-export function noteRequestServed (context: RouterContext, request: RequestState): void {
-  const cleared = noteServed(context.state.crashes, request.fingerprint, context.nowMs)
+export function recordRequestServed (context: RouterContext, request: RequestState): void {
+  const cleared = recordServed(context.state.crashes, request.fingerprint, context.nowMs)
   if (cleared < MIN_PUBLISHED_CLEARED) return
   logDecision(context, request, 'suspect_cleared', { fingerprint: request.fingerprint, crashes: cleared })
   publishCrashes(context)
@@ -95,13 +95,13 @@
  * @param context - context of the current event
  * @param event - the report and the entry that published it
  */
-export function takeCrashReport ({ nowMs, state }: RouterContext, { report, reporter }: RouterEventOf<'crash_report_learned'>): void {
-  takeReport(state.crashes, report, reporter === state.instanceId, nowMs, (process) => isListed(state, process))
+export function handleCrashReport ({ nowMs, state }: RouterContext, { report, reporter }: RouterEventOf<'crash_report_learned'>): void {
+  mergeCrashReport(state.crashes, report, reporter === state.instanceId, nowMs, (process) => isListed(state, process))
 }
 
 function isListed (state: RouterState, process: string): boolean {
-  const replica = state.replicas.get(readReplicaId(process))?.replica
-  return replica !== undefined && nameProcess(replica) === process
+  const replica = state.replicas.get(parseReplicaId(process))?.replica
+  return replica !== undefined && formatProcessName(replica) === process
 }
 
 /**
@@ -113,7 +113,7 @@
   const { effects, state: { crashes } } = context
   if (crashes.suspects.size + crashes.cleared.size === 0) return
   effects.push({ type: 'log', decision: 'suspects_forgotten', requestId: '', inputs: { suspects: crashes.suspects.size } })
-  forgetCrashes(crashes)
+  clearCrashRecords(crashes)
   publishCrashes(context)
 }
 
@@ -122,13 +122,13 @@
  *
  * @param context - context of the current event
  */
-export function tellCrashes (context: RouterContext): void {
+export function republishCrashes (context: RouterContext): void {
   const { cleared, suspects } = context.state.crashes
   if (suspects.size + cleared.size > 0) publishCrashes(context)
 }
 
 function publishCrashes ({ effects, nowMs, state }: RouterContext): void {
-  effects.push({ type: 'publish_crashes', report: makeReport(state.crashes, nowMs) })
+  effects.push({ type: 'publish_crashes', report: createCrashReport(state.crashes, nowMs) })
 }
 
 /**
@@ -138,7 +138,7 @@
  * @param request - request that has failed
  * @returns true when replicas have crashed under it, or may have
  */
-export function isLikelyCause ({ nowMs, state }: RouterContext, { fingerprint }: RequestState): boolean {
+export function isSuspectedCause ({ nowMs, state }: RouterContext, { fingerprint }: RequestState): boolean {
   return state.decisions.crashes === 'refused' && countSuspicions(state.crashes, fingerprint, nowMs) >= NO_RETRY_SUSPICIONS
 }
 
@@ -149,7 +149,7 @@
  * @param request - request that is about to take its next step
  * @returns the refusal, or the abort of a response that has started; undefined when the request may proceed
  */
-export function refuseCause (context: RouterContext, request: RequestState): NextStep {
+export function refuseCrashCause (context: RouterContext, request: RequestState): NextStep {
   const { nowMs, state } = context
   if (state.decisions.crashes !== 'refused') return undefined
   const { isCause, lapsesInMs, processes } = countCrashes(state.crashes, request.fingerprint, nowMs)
@@ -167,6 +167,6 @@
  * @param context - context of the current event
  * @param process - process that is gone
  */
-export function noteProcessGone (context: RouterContext, process: ReplicaProcess): void {
-  if (context.state.crashes.lost.get(nameProcess(process))?.isAnswering === false) noteProcessEnded(context, process, 'registration')
+export function recordProcessGone (context: RouterContext, process: ReplicaProcess): void {
+  if (context.state.crashes.lost.get(formatProcessName(process))?.hasAcceptedConnection === false) recordProcessEnded(context, process, 'registration')
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterDeparted.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterDeparted.ts
@@ -27,7 +27,7 @@
  * @param context - context of the current event
  * @param replica - its last registration
  */
-export function noteDeparted ({ nowMs, state }: RouterContext, { heartbeats, replicaId, startedAtMs }: Replica): void {
+export function recordDeparted ({ nowMs, state }: RouterContext, { heartbeats, replicaId, startedAtMs }: Replica): void {
   const { departed } = state
   for (const [oldest, { goneAtMs }] of departed) {
     if (departed.size < MAX_REMEMBERED && nowMs - goneAtMs < REMEMBERED_MS) break
@@ -45,7 +45,7 @@
  * @param replica - registration of a replica that is not known at the moment
  * @returns true for an outdated registration; a newer one removes the remembered replica
  */
-export function isOldWord ({ effects, nowMs, state }: RouterContext, replica: Replica): boolean {
+export function isStaleRegistration ({ effects, nowMs, state }: RouterContext, replica: Replica): boolean {
   const { replicaId, startedAtMs } = replica
   const previous = state.departed.get(replicaId)
   if (previous === undefined) return false
--- a/packages/bendfall-router/src/entry/BendfallRouterEffects.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterEffects.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { CrashReport } from '../crashes/BendfallRouterCrashReport.js'
-import type { PermitAsk } from '../limits/BendfallRouterPermitKeeper.js'
+import type { PermitRequest } from '../limits/BendfallRouterPermitKeeper.js'
 import type { AllotmentRole } from '../allotments/BendfallRouterAllotmentKeeper.js'
 import type { ReplicaStage } from '../BendfallRouterTypes.js'
 
@@ -33,7 +33,7 @@
   /** Takes units of a customer's allotment from the leader that has the given role. */
   | { readonly type: 'take_units', readonly key: string, readonly attempt: number, readonly role: AllotmentRole, readonly customer: string, readonly units: number }
   /** Requests permits from the permit leader after a delay. */
-  | { readonly type: 'ask_permits', readonly replicaId: string, readonly ask: PermitAsk, readonly inMs: number }
+  | { readonly type: 'ask_permits', readonly replicaId: string, readonly ask: PermitRequest, readonly inMs: number }
   /** Returns units that were taken for a request that never ran. */
   | { readonly type: 'give_back_units', readonly role: AllotmentRole, readonly customer: string, readonly units: number }
   /** Books memory at the ledger beside a replica. */
--- a/packages/bendfall-router/src/entry/BendfallRouterEnd.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterEnd.ts
@@ -6,13 +6,13 @@
 import type { RouterContext } from './BendfallRouterContext.js'
 import { logDecision } from './BendfallRouterContext.js'
 import type { DecisionInputs, EndReason } from './BendfallRouterEffects.js'
-import { noteCallerRefused } from './BendfallRouterCallerWaits.js'
-import { leaveUnits } from './BendfallRouterAllotment.js'
-import { noteUnanswered } from './BendfallRouterStalls.js'
+import { recordCallerRefused } from './BendfallRouterCallerWaits.js'
+import { returnUnusedUnits } from './BendfallRouterAllotment.js'
+import { recordUnanswered } from './BendfallRouterStalls.js'
 import { endPermitWait } from './BendfallRouterPermitWait.js'
-import { leavePermit, mayRelease } from './BendfallRouterPermits.js'
-import { leaveHold } from './BendfallRouterHold.js'
-import { leavePromises } from './BendfallRouterSend.js'
+import { releasePermit, canCallForRelease } from './BendfallRouterPermits.js'
+import { releaseHold } from './BendfallRouterHold.js'
+import { releaseReservedSends } from './BendfallRouterSend.js'
 import type { RequestState } from './BendfallRouterRequest.js'
 
 /**
@@ -21,11 +21,11 @@
  * @param context - context of the current event
  * @param request - request that no longer runs there
  */
-export function leaveRun ({ state }: RouterContext, request: RequestState): void {
-  const view = state.replicas.get(request.runAt ?? '')
+export function releaseRun ({ state }: RouterContext, request: RequestState): void {
+  const view = state.replicas.get(request.runReplicaId ?? '')
   view?.routes.get(request.route.name)?.overdue.delete(request.key)
   if (view !== undefined) view.inFlight = Math.max(0, view.inFlight - 1)
-  request.runAt = undefined
+  request.runReplicaId = undefined
 }
 
 /**
@@ -34,14 +34,14 @@
  * @param context - context of the current event
  * @param request - request whose prefill has ended
  */
-export function leavePrefill ({ effects, state }: RouterContext, request: RequestState): void {
-  const view = state.replicas.get(request.prefillAt ?? '')
+export function releasePrefill ({ effects, state }: RouterContext, request: RequestState): void {
+  const view = state.replicas.get(request.prefillReplicaId ?? '')
   if (view !== undefined && request.prefillBookingId !== undefined) {
     effects.push({ type: 'release', replicaId: view.replica.replicaId, address: view.replica.address, bookingId: request.prefillBookingId })
   }
   request.prefillBookingId = undefined
   if (view !== undefined) view.prefillTokens = Math.max(0, view.prefillTokens - promptTokensOf(request))
-  request.prefillAt = undefined
+  request.prefillReplicaId = undefined
 }
 
 /**
@@ -50,7 +50,7 @@
  * @param context - context of the current event
  * @param request - request that has or waits for the place
  */
-export function leavePrefillSlot ({ effects, state }: RouterContext, request: RequestState): void {
+export function releasePrefillSlot ({ effects, state }: RouterContext, request: RequestState): void {
   const { prefillSlot } = request
   request.prefillSlot = undefined
   const view = state.replicas.get(prefillSlot?.replicaId ?? '')
@@ -64,16 +64,16 @@
  * @param context - context of the current event
  * @param request - request that the memory is booked for
  */
-export function leaveReservation (context: RouterContext, request: RequestState): void {
+export function releaseReservation (context: RouterContext, request: RequestState): void {
   const { effects, state } = context
-  const view = state.replicas.get(request.reservedAt ?? '')
+  const view = state.replicas.get(request.reservedReplicaId ?? '')
   if (view !== undefined && request.bookingId !== undefined) {
     view.ownTokens = Math.max(0, view.ownTokens - promptTokensOf(request))
     effects.push({ type: 'release', replicaId: view.replica.replicaId, address: view.replica.address, bookingId: request.bookingId })
   }
-  leaveHold(context, request)
-  leavePermit(context, request)
-  request.reservedAt = undefined
+  releaseHold(context, request)
+  releasePermit(context, request)
+  request.reservedReplicaId = undefined
   request.bookingId = undefined
 }
 
@@ -83,11 +83,11 @@
  * @param context - context of the current event
  * @param request - request that the result belongs to
  */
-export function leaveHandle (context: RouterContext, request: RequestState): void {
+export function releaseHandle (context: RouterContext, request: RequestState): void {
   if (request.handle === undefined) return
   const { address, handle, replicaId } = request.handle
   // The result expires by itself where the replica backs off, or has no permit for the call.
-  if (mayRelease(context, replicaId)) context.effects.push({ type: 'free_handle', address, handle })
+  if (canCallForRelease(context, replicaId)) context.effects.push({ type: 'free_handle', address, handle })
   request.handle = undefined
 }
 
@@ -123,7 +123,7 @@
 
 function recordRefusedCaller ({ nowMs, state }: RouterContext, { route }: RequestState, retryAfterMs: number | undefined): void {
   const waits = state.callerWaits.get(route.name)
-  if (waits !== undefined && retryAfterMs !== undefined) noteCallerRefused(waits, nowMs)
+  if (waits !== undefined && retryAfterMs !== undefined) recordCallerRefused(waits, nowMs)
 }
 
 /**
@@ -136,7 +136,7 @@
 export function endCut (context: RouterContext, request: RequestState, reason: EndReason): void {
   context.effects.push({ type: 'abort_send', key: request.key })
   context.effects.push({ type: 'cut', key: request.key })
-  logDecision(context, request, 'cut', { ...nameLogInputs(request), reason, replica: request.runAt, lastEventId: request.lastEventId, steps: request.attempt })
+  logDecision(context, request, 'cut', { ...nameLogInputs(request), reason, replica: request.runReplicaId, lastEventId: request.lastEventId, steps: request.attempt })
   end(context, request)
 }
 
@@ -147,21 +147,21 @@
  * @param request - request that is cancelled
  */
 export function endCancelled (context: RouterContext, request: RequestState): void {
-  noteUnanswered(context, request)
+  recordUnanswered(context, request)
   context.effects.push({ type: 'abort_send', key: request.key })
-  logDecision(context, request, 'cancelled', { ...nameLogInputs(request), phase: request.phase, replica: request.runAt ?? request.prefillAt })
+  logDecision(context, request, 'cancelled', { ...nameLogInputs(request), phase: request.phase, replica: request.runReplicaId ?? request.prefillReplicaId })
   end(context, request)
 }
 
 function end (context: RouterContext, request: RequestState): void {
   endPermitWait(context, request)
-  leaveRun(context, request)
-  leavePrefillSlot(context, request)
-  leavePrefill(context, request)
-  leaveReservation(context, request)
-  leaveHandle(context, request)
-  leavePromises(context, request)
-  leaveUnits(context, request)
+  releaseRun(context, request)
+  releasePrefillSlot(context, request)
+  releasePrefill(context, request)
+  releaseReservation(context, request)
+  releaseHandle(context, request)
+  releaseReservedSends(context, request)
+  returnUnusedUnits(context, request)
   request.phase = 'ended'
   context.state.requests.delete(request.key)
   context.effects.push({ type: 'forget', key: request.key })
--- a/packages/bendfall-router/src/entry/BendfallRouterEvents.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterEvents.ts
@@ -5,7 +5,7 @@
  */
 import type { CrashReport } from '../crashes/BendfallRouterCrashReport.js'
 import type { AllotmentRole, UnitsOutcome } from '../allotments/BendfallRouterAllotmentKeeper.js'
-import type { NamedLimit, PermitAsk, PermitOutcome } from '../limits/BendfallRouterPermitKeeper.js'
+import type { NamedLimit, PermitRequest, PermitOutcome } from '../limits/BendfallRouterPermitKeeper.js'
 import type { ReplicaNotice } from '../notices/BendfallRouterNotices.js'
 import type { Prompt, Replica, ReplicaLoad, RouterConfig } from '../BendfallRouterTypes.js'
 
@@ -76,7 +76,7 @@
   /** Monotonic time. */
   readonly atMs: number
   /** Time for which the machine may have been suspended since the last event; not included in `atMs`. */
-  readonly aheadMs?: number
+  readonly suspendedMs?: number
 }
 
 /** An event with its time. */
@@ -118,7 +118,7 @@
   /** Limits that other entries have learned of. */
   | { readonly type: 'limits_learned', readonly limits: readonly NamedLimit[] }
   /** Answer of the permit leader, or its absence. */
-  | { readonly type: 'permits_answered', readonly replicaId: string, readonly ask: PermitAsk, readonly outcome: PermitOutcome }
+  | { readonly type: 'permits_answered', readonly replicaId: string, readonly ask: PermitRequest, readonly outcome: PermitOutcome }
   /** Outcome of the check of a replica after a connection to it was lost. */
   | { readonly type: 'replica_checked', readonly replicaId: string, readonly startedAtMs?: number, readonly outcome: ProcessCheck }
   /** Crashes observed by an entry, which may be this one before its restart. */
--- a/packages/bendfall-router/src/entry/BendfallRouterHold.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterHold.ts
@@ -7,13 +7,13 @@
  *
  * @module
  */
-import { noteFailure } from './BendfallRouterBelief.js'
+import { recordFailure } from './BendfallRouterBelief.js'
 import type { NextStep, RouterContext } from './BendfallRouterContext.js'
 import { logDecision } from './BendfallRouterContext.js'
-import { mayRelease } from './BendfallRouterPermits.js'
+import { canCallForRelease } from './BendfallRouterPermits.js'
 import type { HoldOutcome } from './BendfallRouterEvents.js'
 import type { RequestState } from './BendfallRouterRequest.js'
-import type { ReplicaBelief } from './BendfallRouterState.js'
+import type { ReplicaView } from './BendfallRouterState.js'
 
 /** Timeout for the answer to a hold; replicas answer within milliseconds. */
 const HOLD_TIMEOUT_MS = 250
@@ -34,7 +34,7 @@
  * @param leadMs - expected time until the request is sent there
  * @returns undefined, since the request waits for the answer
  */
-export function startHold (context: RouterContext, request: RequestState, view: ReplicaBelief, tokens: number, leadMs: number): NextStep {
+export function startHold (context: RouterContext, request: RequestState, view: ReplicaView, tokens: number, leadMs: number): NextStep {
   request.phase = 'hold'
   request.attempt += 1
   context.effects.push({
@@ -58,12 +58,12 @@
  * @param outcome - answer of the replica
  * @returns whether the request may proceed there: memory is held, or the replica does not support holds
  */
-export function takeHold (context: RouterContext, request: RequestState, outcome: HoldOutcome): boolean {
-  const replicaId = request.reservedAt ?? ''
+export function applyHoldOutcome (context: RouterContext, request: RequestState, outcome: HoldOutcome): boolean {
+  const replicaId = request.reservedReplicaId ?? ''
   logDecision(context, request, `hold_${outcome.type}`, { replica: replicaId })
   const view = context.state.replicas.get(replicaId)
   if (outcome.type === 'held') request.hold = { replicaId, address: view?.replica.address ?? '', holdId: outcome.holdId }
-  if (outcome.type === 'unanswered' && view !== undefined) noteFailure(view, context.nowMs)
+  if (outcome.type === 'unanswered' && view !== undefined) recordFailure(view, context.nowMs)
   return outcome.type === 'held' || outcome.type === 'not_offered'
 }
 
@@ -73,10 +73,10 @@
  * @param context - context of the current event
  * @param request - request that the memory is held for
  */
-export function leaveHold (context: RouterContext, request: RequestState): void {
+export function releaseHold (context: RouterContext, request: RequestState): void {
   if (request.hold === undefined) return
   const { replicaId, ...hold } = request.hold
   // The hold expires by itself where the replica backs off, or has no permit for the call.
-  if (mayRelease(context, replicaId)) context.effects.push({ type: 'drop_hold', ...hold })
+  if (canCallForRelease(context, replicaId)) context.effects.push({ type: 'drop_hold', ...hold })
   request.hold = undefined
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterLoads.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterLoads.ts
@@ -10,7 +10,7 @@
 import type { RouterContext } from './BendfallRouterContext.js'
 import { draw } from './BendfallRouterContext.js'
 import type { LoadStep, RequestState } from './BendfallRouterRequest.js'
-import type { ReplicaBelief } from './BendfallRouterState.js'
+import type { ReplicaView } from './BendfallRouterState.js'
 
 /** Pool of replicas with a model. */
 type ModelStage = 'prefill' | 'decode'
@@ -45,14 +45,14 @@
  * @param step - step to start once the ledgers have answered
  * @returns whether the request waits for the answers
  */
-export function askLoads (context: RouterContext, request: RequestState, step: LoadStep): boolean {
+export function requestLoads (context: RouterContext, request: RequestState, step: LoadStep): boolean {
   const { nowMs } = context
-  if (nowMs - request.loadsAskedAtMs < VALID_LOAD_MS) return false
+  if (nowMs - request.loadsRequestedAtMs < VALID_LOAD_MS) return false
   const queried = POOLS_OF_STEP[step].flatMap((stage) => sampleReplicas(context, request, stage)).filter((view) => shouldQuery(view, nowMs))
   if (queried.length === 0) return false
-  request.loadsAskedAtMs = nowMs
+  request.loadsRequestedAtMs = nowMs
   request.phase = 'loads'
-  request.afterLoads = step
+  request.stepAfterLoads = step
   request.attempt += 1
   context.effects.push({
     type: 'ask_loads',
@@ -71,21 +71,21 @@
  * @param stage - pool that the request needs
  * @returns views of the replicas
  */
-export function knownReplicas (context: RouterContext, request: RequestState, stage: ModelStage): ReplicaBelief[] {
+export function candidateReplicas (context: RouterContext, request: RequestState, stage: ModelStage): ReplicaView[] {
   const usable = usableReplicas(context, request, stage)
   const known = usable.filter(({ load, loadAtMs }) => load !== undefined && context.nowMs - loadAtMs < VALID_LOAD_MS)
   return known.length > 0 ? known : usable
 }
 
-function sampleReplicas (context: RouterContext, request: RequestState, stage: ModelStage): ReplicaBelief[] {
+function sampleReplicas (context: RouterContext, request: RequestState, stage: ModelStage): ReplicaView[] {
   const remaining = usableReplicas(context, request, stage)
-  const drawn: ReplicaBelief[] = []
+  const drawn: ReplicaView[] = []
   while (drawn.length < SAMPLE_SIZES[stage] && remaining.length > 0) {
     drawn.push(...remaining.splice(Math.floor(draw(context.state) * remaining.length), 1))
   }
   return drawn
 }
 
-function shouldQuery ({ ledgerDownUntilMs, loadAtMs }: ReplicaBelief, nowMs: number): boolean {
+function shouldQuery ({ ledgerDownUntilMs, loadAtMs }: ReplicaView, nowMs: number): boolean {
   return ledgerDownUntilMs <= nowMs && nowMs - loadAtMs > FRESH_LOAD_MS
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterMembers.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterMembers.ts
@@ -6,8 +6,8 @@
  */
 import { hashText, rendezvousScore } from 'bendfall-core'
 import type { Replica } from '../BendfallRouterTypes.js'
-import { createBelief } from './BendfallRouterBelief.js'
-import type { ReplicaBelief, RouterState } from './BendfallRouterState.js'
+import { createReplicaView } from './BendfallRouterBelief.js'
+import type { ReplicaView, RouterState } from './BendfallRouterState.js'
 
 /**
  * Adds a replica that was not known, or replaces the view of its previous process.
@@ -17,7 +17,7 @@
  */
 export function addReplica (state: RouterState, replica: Replica): void {
   removeReplica(state, replica.replicaId)
-  state.replicas.set(replica.replicaId, createBelief(replica, rendezvousScore(hashText(state.instanceId), replica.replicaId)))
+  state.replicas.set(replica.replicaId, createReplicaView(replica, rendezvousScore(hashText(state.instanceId), replica.replicaId)))
   state.byAddress.set(replica.address, replica.replicaId)
   state.isSubsetStale = true
 }
@@ -46,7 +46,7 @@
  * @param view - view of the replica
  * @param replica - its newer registration
  */
-export function renewReplica (state: RouterState, view: ReplicaBelief, replica: Replica): void {
+export function updateRegistration (state: RouterState, view: ReplicaView, replica: Replica): void {
   const { isDraining, stage } = view.replica
   if (isDraining !== replica.isDraining || stage !== replica.stage) state.isSubsetStale = true
   view.replica = replica
@@ -60,6 +60,6 @@
  * @param address - `ip:port`
  * @returns view of the replica; undefined if none has the address
  */
-export function replicaAt (state: RouterState, address: string): ReplicaBelief | undefined {
+export function findReplicaByAddress (state: RouterState, address: string): ReplicaView | undefined {
   return state.replicas.get(state.byAddress.get(address) ?? '')
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterMemoryOptions.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterMemoryOptions.ts
@@ -9,7 +9,7 @@
 import type { RouterContext } from './BendfallRouterContext.js'
 import { draw } from './BendfallRouterContext.js'
 import type { RequestState } from './BendfallRouterRequest.js'
-import type { ReplicaBelief } from './BendfallRouterState.js'
+import type { ReplicaView } from './BendfallRouterState.js'
 
 /** Share of a replica's memory that one entry uses when no ledger answers, since other entries use it too. */
 const FALLBACK_MEMORY_SHARE = 0.5
@@ -19,7 +19,7 @@
 
 /** A decode replica whose memory may be booked. */
 export interface MemoryOption {
-  readonly belief: ReplicaBelief
+  readonly view: ReplicaView
   /** Time until the memory is likely to be free; infinite beyond the last horizon. */
   readonly waitMs: number
   readonly roomTokens: number
@@ -32,7 +32,7 @@
  * @returns tokens of its prompt and of the output as estimated by the caller
  */
 export function expectedTokens ({ prompt }: RequestState): number {
-  return prompt === undefined ? 0 : prompt.promptTokens + hintOf(prompt)
+  return prompt === undefined ? 0 : prompt.promptTokens + estimateOutputTokens(prompt)
 }
 
 /**
@@ -41,22 +41,22 @@
  * @param prompt - prompt as declared by the caller
  * @returns tokens; the maximum output when the caller gave no estimate
  */
-export function hintOf ({ maxOutputTokens, outputHintTokens }: Prompt): number {
+export function estimateOutputTokens ({ maxOutputTokens, outputHintTokens }: Prompt): number {
   return Math.min(maxOutputTokens, outputHintTokens ?? maxOutputTokens)
 }
 
-function toOption (context: RouterContext, view: ReplicaBelief, tokens: number): MemoryOption {
+function toOption (context: RouterContext, view: ReplicaView, tokens: number): MemoryOption {
   const { load } = view
   if (load === undefined || view.ledgerDownUntilMs > context.nowMs) {
-    return { belief: view, waitMs: hasRoomWithoutLedger(view, tokens) ? 0 : Infinity, roomTokens: -view.ownTokens }
+    return { view, waitMs: hasRoomWithoutLedger(view, tokens) ? 0 : Infinity, roomTokens: -view.ownTokens }
   }
-  const index = load.roomTokens.findIndex((room) => room - view.bookedSinceLoad >= tokens)
+  const index = load.roomTokens.findIndex((room) => room - view.bookedTokensSinceLoad >= tokens)
   const waitMs = index < 0 ? Infinity : ROOM_HORIZONS_MS[index] as number
-  return { belief: view, waitMs, roomTokens: (load.roomTokens[Math.max(0, index)] ?? 0) - view.bookedSinceLoad }
+  return { view, waitMs, roomTokens: (load.roomTokens[Math.max(0, index)] ?? 0) - view.bookedTokensSinceLoad }
 }
 
 // Without a report of the ledger, an entry relies on its own bookings alone.
-function hasRoomWithoutLedger (view: ReplicaBelief, tokens: number): boolean {
+function hasRoomWithoutLedger (view: ReplicaView, tokens: number): boolean {
   const capacity = view.load?.capacityTokens ?? DEFAULT_CAPACITY_TOKENS
   return view.ownTokens + tokens <= FALLBACK_MEMORY_SHARE * capacity
 }
@@ -70,7 +70,7 @@
  * @param views - views of the replicas to choose from
  * @returns the best option; undefined if there are no replicas
  */
-export function chooseOption (context: RouterContext, request: RequestState, views: readonly ReplicaBelief[]): MemoryOption | undefined {
+export function chooseMemoryOption (context: RouterContext, request: RequestState, views: readonly ReplicaView[]): MemoryOption | undefined {
   const options = views.map((view) => toOption(context, view, expectedTokens(request)))
   const start = Math.floor(draw(context.state) * options.length)
   let best: MemoryOption | undefined
--- a/packages/bendfall-router/src/entry/BendfallRouterNotice.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterNotice.ts
@@ -5,17 +5,17 @@
  *
  * @module
  */
-import { nameProcess } from '../crashes/BendfallRouterCrashRecords.js'
+import { formatProcessName } from '../crashes/BendfallRouterCrashRecords.js'
 import type { Replica } from '../BendfallRouterTypes.js'
-import { backoffLeftMs, takeNotice } from '../notices/BendfallRouterNotices.js'
+import { backoffLeftMs, recordNotice } from '../notices/BendfallRouterNotices.js'
 import type { ReplicaNotice } from '../notices/BendfallRouterNotices.js'
 import { isLeaving, stageOf } from './BendfallRouterBelief.js'
 import type { NextStep, RouterContext } from './BendfallRouterContext.js'
 import type { RouterEventOf } from './BendfallRouterEvents.js'
-import { takeLimit } from './BendfallRouterReplicaLimit.js'
+import { handleLimitNotice } from './BendfallRouterReplicaLimit.js'
 import type { RequestState } from './BendfallRouterRequest.js'
-import type { ReplicaBelief } from './BendfallRouterState.js'
-import { chooseSubset } from './BendfallRouterSubset.js'
+import type { ReplicaView } from './BendfallRouterState.js'
+import { updateSubset } from './BendfallRouterSubset.js'
 
 /** Maximum number of distinct pairs of header and replica that are logged, once each. */
 const MAX_UNDECODED = 1_000
@@ -26,26 +26,26 @@
  * @param context - context of the current event
  * @param event - the notice, the replica's id, and when the request that it responds to was sent
  */
-export function takeReplicaNotice (context: RouterContext, { notice, replicaId, sentAtMs = -Infinity }: Pick<RouterEventOf<'replica_spoke'>, 'notice' | 'replicaId' | 'sentAtMs'>): void {
+export function handleReplicaNotice (context: RouterContext, { notice, replicaId, sentAtMs = -Infinity }: Pick<RouterEventOf<'replica_spoke'>, 'notice' | 'replicaId' | 'sentAtMs'>): void {
   const { effects, nowMs, state } = context
   const replica = state.replicas.get(replicaId)?.replica
   if (replica === undefined) return
   logUndecoded(context, replica, notice)
-  if (notice.limit !== undefined) takeLimit(context, replica, notice.limit, sentAtMs)
-  const change = takeNotice(state.notices, nameProcess(replica), notice, nowMs)
+  if (notice.limit !== undefined) handleLimitNotice(context, replica, notice.limit, sentAtMs)
+  const change = recordNotice(state.notices, formatProcessName(replica), notice, nowMs)
   if (change === 'nothing') return
   effects.push({ type: 'log', decision: change === 'leaves' ? 'replica_says_leaving' : 'replica_backs_off', requestId: '', inputs: { replica: replicaId, backoffMs: notice.backoffMs } })
   if (change !== 'leaves') return
   state.isSubsetStale = true
-  chooseSubset(state)
+  updateSubset(state)
 }
 
 // Shows operators which headers of a replica the router does not decode and therefore ignores.
-function logUndecoded ({ effects, state: { undecoded } }: RouterContext, { replicaId }: Replica, notice: ReplicaNotice): void {
+function logUndecoded ({ effects, state: { undecodedHeaders } }: RouterContext, { replicaId }: Replica, notice: ReplicaNotice): void {
   for (const header of notice.undecoded ?? []) {
     const name = `${header} ${replicaId}`
-    if (undecoded.has(name) || undecoded.size >= MAX_UNDECODED) continue
-    undecoded.add(name)
+    if (undecodedHeaders.has(name) || undecodedHeaders.size >= MAX_UNDECODED) continue
+    undecodedHeaders.add(name)
     effects.push({ type: 'log', decision: 'answer_header_undecoded', requestId: '', inputs: { replica: replicaId, header } })
   }
 }
@@ -59,7 +59,7 @@
  */
 export function isBackingOff ({ nowMs, state }: RouterContext, replicaId: string): boolean {
   const replica = state.replicas.get(replicaId)?.replica
-  return replica !== undefined && backoffLeftMs(state.notices, nameProcess(replica), nowMs) > 0
+  return replica !== undefined && backoffLeftMs(state.notices, formatProcessName(replica), nowMs) > 0
 }
 
 /**
@@ -69,7 +69,7 @@
  * @param view - view of the replica
  * @returns false for a replica that is leaving or backs off
  */
-export function isOpen (context: RouterContext, view: ReplicaBelief): boolean {
+export function isAcceptingRequests (context: RouterContext, view: ReplicaView): boolean {
   return !isLeaving(context.state, view) && !isBackingOff(context, view.replica.replicaId)
 }
 
@@ -85,7 +85,7 @@
 export function refuseBackoff (context: RouterContext, request: RequestState, stage: 'decode' | 'plain'): NextStep {
   const { nowMs, state } = context
   const staying = (state.usedByService.get(request.service) ?? []).filter((view) => stageOf(view) === stage && !isLeaving(state, view))
-  const backoffsMs = staying.map(({ replica }) => backoffLeftMs(state.notices, nameProcess(replica), nowMs))
+  const backoffsMs = staying.map(({ replica }) => backoffLeftMs(state.notices, formatProcessName(replica), nowMs))
   const retryAfterMs = Math.min(...backoffsMs.filter((ms) => ms > 0))
   const isAnyOpen = staying.some(({ replica }, index) => backoffsMs[index] === 0 && !request.excluded.has(replica.replicaId))
   if (isAnyOpen || retryAfterMs === Infinity) return undefined
--- a/packages/bendfall-router/src/entry/BendfallRouterPermitWait.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterPermitWait.ts
@@ -10,7 +10,7 @@
 import { usableReplicas } from './BendfallRouterBelief.js'
 import type { NextStep, RouterContext } from './BendfallRouterContext.js'
 import { draw, logDecision } from './BendfallRouterContext.js'
-import { askPermits, limitedReplicas } from './BendfallRouterReplicaLimit.js'
+import { requestPermits, limitedReplicas } from './BendfallRouterReplicaLimit.js'
 import type { PermitStep, RequestState } from './BendfallRouterRequest.js'
 
 /** Longest time that a request waits for a permit. */
@@ -32,7 +32,7 @@
 const MS_PER_SECOND = 1_000
 
 /** A request that stops waiting for a permit, with the step to retry. */
-export interface WaitedRequest {
+export interface ResumableRequest {
   readonly request: RequestState
   readonly step: PermitStep
 }
@@ -54,7 +54,7 @@
   const earliest = limited.reduce((best, one) => nextPermitAtMs(one.limit, nowMs) < nextPermitAtMs(best.limit, nowMs) ? one : best)
   const perS = limited.reduce((sum, { limit }) => sum + limit.perS / limit.entries, 0)
   if (canWait(context, request, nextPermitAtMs(earliest.limit, nowMs), perS)) {
-    if (!earliest.limit.isAsking) askPermits(context, earliest.replicaId, earliest.limit, nextPermitAtMs(earliest.limit, nowMs) - nowMs)
+    if (!earliest.limit.isAsking) requestPermits(context, earliest.replicaId, earliest.limit, nextPermitAtMs(earliest.limit, nowMs) - nowMs)
     startWait(context, request, step)
     return { next: undefined }
   }
@@ -69,7 +69,7 @@
  * @param replicaId - replica for which permits were requested from the limit leader
  * @returns requests to resume in order, each with its step
  */
-export function takePermitWaiters (context: RouterContext, replicaId: string): WaitedRequest[] {
+export function removePermitWaiters (context: RouterContext, replicaId: string): ResumableRequest[] {
   const { nowMs, state } = context
   // If the replica was removed in the meantime, its service is unknown and all waiting requests are retried.
   const service = state.replicas.get(replicaId)?.replica.service
@@ -94,8 +94,8 @@
   request.permitStep = undefined
 }
 
-function nextPermitAtMs ({ nextAskAtMs }: ReplicaLimit, nowMs: number): number {
-  return Math.max(nowMs, nextAskAtMs)
+function nextPermitAtMs ({ nextRequestAtMs }: ReplicaLimit, nowMs: number): number {
+  return Math.max(nowMs, nextRequestAtMs)
 }
 
 function canWait ({ nowMs, state }: RouterContext, request: RequestState, atMs: number, perS: number): boolean {
@@ -118,8 +118,8 @@
   if (request.isCommitted) return { type: 'cut', reason: 'replicas_limited' }
   const spacingMs = perS > 0 ? MS_PER_SECOND / perS : MAX_RETRY_MS
   const permitAtMs = freeAtMs > nowMs ? freeAtMs : nowMs + NO_LEADER_RETRY_MS
-  const retryAtMs = Math.min(nowMs + MAX_RETRY_MS, Math.max(permitAtMs, (state.permitReturns.get(request.service) ?? -Infinity) + spacingMs))
-  state.permitReturns.set(request.service, retryAtMs)
+  const retryAtMs = Math.min(nowMs + MAX_RETRY_MS, Math.max(permitAtMs, (state.lastPermitRetryAtMs.get(request.service) ?? -Infinity) + spacingMs))
+  state.lastPermitRetryAtMs.set(request.service, retryAtMs)
   const retryAfterMs = Math.max(MIN_RETRY_MS, (retryAtMs - nowMs) * (1 + RETRY_JITTER * draw(state)))
   return { type: 'refuse', status: request.runs > 0 ? 502 : 503, reason: 'replicas_limited', retryAfterMs }
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterPermits.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterPermits.ts
@@ -4,14 +4,14 @@
  *
  * @module
  */
-import { nameProcess } from '../crashes/BendfallRouterCrashRecords.js'
+import { formatProcessName } from '../crashes/BendfallRouterCrashRecords.js'
 import type { ReplicaStage } from '../BendfallRouterTypes.js'
 import { hasPermit, returnPermit, usePermit } from '../limits/BendfallRouterReplicaLimits.js'
 import { backoffLeftMs } from '../notices/BendfallRouterNotices.js'
 import type { RouterContext } from './BendfallRouterContext.js'
-import { askPermits, limitedReplicas, limitOf } from './BendfallRouterReplicaLimit.js'
+import { requestPermits, limitedReplicas, limitOf } from './BendfallRouterReplicaLimit.js'
 import type { RequestState } from './BendfallRouterRequest.js'
-import type { ReplicaBelief } from './BendfallRouterState.js'
+import type { ReplicaView } from './BendfallRouterState.js'
 
 /** Time for which a run keeps its permit while its prompt is prefilled. */
 const RUN_PERMIT_TTL_MS = 2_000
@@ -23,13 +23,13 @@
  * @param request - request that needs a replica
  * @param stage - pool that the replica must belong to
  */
-export function wantPermits (context: RouterContext, request: RequestState, stage: ReplicaStage): void {
+export function requestMissingPermits (context: RouterContext, request: RequestState, stage: ReplicaStage): void {
   const { nowMs, state } = context
   if (state.limits.size === 0) return
   for (const { limit, replicaId } of limitedReplicas(context, request, stage)) {
     if (hasPermit(limit, nowMs)) continue
     limit.wanted += 1
-    if (!limit.isAsking && nowMs >= limit.nextAskAtMs) askPermits(context, replicaId, limit, 0)
+    if (!limit.isAsking && nowMs >= limit.nextRequestAtMs) requestPermits(context, replicaId, limit, 0)
   }
 }
 
@@ -40,7 +40,7 @@
  * @param view - replica that the send goes to
  * @returns whether the send may be made
  */
-export function takePermit ({ nowMs, state }: RouterContext, { replica }: ReplicaBelief): boolean {
+export function tryUsePermit ({ nowMs, state }: RouterContext, { replica }: ReplicaView): boolean {
   const limit = limitOf(state, replica)
   if (limit === undefined) return true
   if (!hasPermit(limit, nowMs)) return false
@@ -56,11 +56,11 @@
  * @param replicaId - replica that holds the resource
  * @returns false while the replica asks for backoff or its rate limit is exhausted
  */
-export function mayRelease (context: RouterContext, replicaId: string): boolean {
+export function canCallForRelease (context: RouterContext, replicaId: string): boolean {
   const { nowMs, state } = context
   const view = state.replicas.get(replicaId)
   if (view === undefined) return true
-  return backoffLeftMs(state.notices, nameProcess(view.replica), nowMs) === 0 && takePermit(context, view)
+  return backoffLeftMs(state.notices, formatProcessName(view.replica), nowMs) === 0 && tryUsePermit(context, view)
 }
 
 /**
@@ -71,9 +71,9 @@
  * @param request - request that keeps the permit
  * @param view - replica that the memory is booked at
  */
-export function carryPermit (context: RouterContext, request: RequestState, view: ReplicaBelief): void {
-  if (limitOf(context.state, view.replica) === undefined || !takePermit(context, view)) return
-  request.permit = { processName: nameProcess(view.replica), takenAtMs: context.nowMs }
+export function acquireRunPermit (context: RouterContext, request: RequestState, view: ReplicaView): void {
+  if (limitOf(context.state, view.replica) === undefined || !tryUsePermit(context, view)) return
+  request.permit = { processName: formatProcessName(view.replica), acquiredAtMs: context.nowMs }
 }
 
 /**
@@ -85,12 +85,12 @@
  * @param view - replica that it is sent to
  * @returns whether the send may be made
  */
-export function usePermitOf (context: RouterContext, request: RequestState, view: ReplicaBelief): boolean {
+export function useRunPermit (context: RouterContext, request: RequestState, view: ReplicaView): boolean {
   const { permit } = request
-  if (permit === undefined || permit.processName !== nameProcess(view.replica)) return takePermit(context, view)
-  if (context.nowMs - permit.takenAtMs >= RUN_PERMIT_TTL_MS) {
-    leavePermit(context, request)
-    return takePermit(context, view)
+  if (permit === undefined || permit.processName !== formatProcessName(view.replica)) return tryUsePermit(context, view)
+  if (context.nowMs - permit.acquiredAtMs >= RUN_PERMIT_TTL_MS) {
+    releasePermit(context, request)
+    return tryUsePermit(context, view)
   }
   request.permit = undefined
   return true
@@ -102,7 +102,7 @@
  * @param context - state, time and effects of the current event
  * @param request - request whose permit is returned, if it has one
  */
-export function leavePermit ({ state }: RouterContext, request: RequestState): void {
+export function releasePermit ({ state }: RouterContext, request: RequestState): void {
   const limit = state.limits.get(request.permit?.processName ?? '')
   if (limit !== undefined) returnPermit(limit)
   request.permit = undefined
--- a/packages/bendfall-router/src/entry/BendfallRouterPlain.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterPlain.ts
@@ -4,21 +4,21 @@
  *
  * @module
  */
-import { noteFailure, noteSuccess, usableReplicas } from './BendfallRouterBelief.js'
+import { recordFailure, recordSuccess, usableReplicas } from './BendfallRouterBelief.js'
 import type { NextStep, RouterContext } from './BendfallRouterContext.js'
-import { draw, logDecision, registrationsAgeMs, noteSent, remainingMs } from './BendfallRouterContext.js'
-import { noteConnectionLost } from './BendfallRouterCrashes.js'
-import { endAnswered, leaveRun } from './BendfallRouterEnd.js'
+import { draw, logDecision, registrationsAgeMs, recordSent, remainingMs } from './BendfallRouterContext.js'
+import { recordConnectionLost } from './BendfallRouterCrashes.js'
+import { endAnswered, releaseRun } from './BendfallRouterEnd.js'
 import type { RouterEventOf, SendFailure } from './BendfallRouterEvents.js'
 import { refuseBackoff } from './BendfallRouterNotice.js'
 import { awaitPermit } from './BendfallRouterPermitWait.js'
-import { wantPermits } from './BendfallRouterPermits.js'
+import { requestMissingPermits } from './BendfallRouterPermits.js'
 import { limitOf } from './BendfallRouterReplicaLimit.js'
-import { hasNotRun, mayRunAgain, takeRetry } from './BendfallRouterRetry.js'
-import { noteSendFailed, paySend, refuseUnpaid, sendRun } from './BendfallRouterSend.js'
-import { noteAnswered, noteUnanswered } from './BendfallRouterStalls.js'
+import { hasNotRun, mayRunAgain, authorizeRetry } from './BendfallRouterRetry.js'
+import { recordSendFailure, chargeSend, refuseOverBudget, sendRun } from './BendfallRouterSend.js'
+import { recordAnswered, recordUnanswered } from './BendfallRouterStalls.js'
 import type { RequestState } from './BendfallRouterRequest.js'
-import type { ReplicaBelief } from './BendfallRouterState.js'
+import type { ReplicaView } from './BendfallRouterState.js'
 
 /** `Retry-After` when no replica is known; registrations are read within a second. */
 const NO_REPLICA_RETRY_MS = 1_000
@@ -50,13 +50,13 @@
  * @returns the next step
  */
 export function startPlain (context: RouterContext, request: RequestState): NextStep {
-  wantPermits(context, request, stageFor(request))
+  requestMissingPermits(context, request, stageFor(request))
   const view = chooseReplica(context, request)
   if (view === undefined) return handleNoReplica(context, request)
   const { address, replicaId } = view.replica
-  const charge = paySend(context, request, view)
-  if (charge === 'closed' || charge === 'unpaid') return refuseUnpaid(request)
-  noteSent(context, request, view, 'plain')
+  const charge = chargeSend(context, request, view)
+  if (charge === 'closed' || charge === 'unpaid') return refuseOverBudget(request)
+  recordSent(context, request, view, 'plain')
   sendRun(context, request, charge, {
     key: request.key,
     attempt: request.attempt,
@@ -72,7 +72,7 @@
 
 // Without another replica, a retry would discard a response that is already available.
 function hasOtherReplica (context: RouterContext, request: RequestState): boolean {
-  return usableReplicas(context, request, stageFor(request)).some(({ replica }) => replica.replicaId !== request.runAt)
+  return usableReplicas(context, request, stageFor(request)).some(({ replica }) => replica.replicaId !== request.runReplicaId)
 }
 
 function handleNoReplica (context: RouterContext, request: RequestState): NextStep {
@@ -95,15 +95,15 @@
  * @param event - response of the replica
  * @returns the next step
  */
-export function takePlainAnswer (context: RouterContext, request: RequestState, event: RouterEventOf<'answer_complete'>): NextStep {
-  const view = context.state.replicas.get(request.runAt ?? '')
+export function handlePlainAnswer (context: RouterContext, request: RequestState, event: RouterEventOf<'answer_complete'>): NextStep {
+  const view = context.state.replicas.get(request.runReplicaId ?? '')
   const isFailure = event.status >= 500
-  if (view !== undefined && isFailure) noteFailure(view, context.nowMs)
-  if (view !== undefined) noteAnswered(view, request)
-  if (view !== undefined && !isFailure) noteSuccess(view, context.nowMs - (request.runSentAtMs ?? context.nowMs))
-  if (isFailure && !request.isCommitted && hasOtherReplica(context, request) && takeRetry(context, request, 'unknown')) return retryElsewhere(context, request, 'failed_answer')
-  const replica = request.runAt
-  leaveRun(context, request)
+  if (view !== undefined && isFailure) recordFailure(view, context.nowMs)
+  if (view !== undefined) recordAnswered(view, request)
+  if (view !== undefined && !isFailure) recordSuccess(view, context.nowMs - (request.runSentAtMs ?? context.nowMs))
+  if (isFailure && !request.isCommitted && hasOtherReplica(context, request) && authorizeRetry(context, request, 'unknown')) return retryElsewhere(context, request, 'failed_answer')
+  const replica = request.runReplicaId
+  releaseRun(context, request)
   context.effects.push({ type: 'deliver', key: request.key })
   endAnswered(context, request, { status: event.status, replica })
   return undefined
@@ -117,30 +117,30 @@
  * @param failure - how the send failed, which decides whether the request may have run
  * @returns the next step
  */
-export function takePlainFailure (context: RouterContext, request: RequestState, failure: SendFailure): NextStep {
-  const view = context.state.replicas.get(request.runAt ?? '')
-  if (failure === 'connection_lost') noteConnectionLost(context, request)
-  if (view !== undefined) noteFailure(view, context.nowMs, failure)
-  noteUnanswered(context, request)
-  noteSendFailed(context, request, failure)
+export function handlePlainFailure (context: RouterContext, request: RequestState, failure: SendFailure): NextStep {
+  const view = context.state.replicas.get(request.runReplicaId ?? '')
+  if (failure === 'connection_lost') recordConnectionLost(context, request)
+  if (view !== undefined) recordFailure(view, context.nowMs, failure)
+  recordUnanswered(context, request)
+  recordSendFailure(context, request, failure)
   if (request.isCommitted) return { type: 'cut', reason: 'replica_failed' }
   if (hasNotRun(failure)) request.runs -= 1
-  if (takeRetry(context, request, failure)) return retryElsewhere(context, request, failure)
+  if (authorizeRetry(context, request, failure)) return retryElsewhere(context, request, failure)
   if (hasNotRun(failure) && request.runs === 0) return { type: 'refuse', status: 503, reason: 'replica_refused', retryAfterMs: REFUSED_RETRY_MS }
   return { type: 'refuse', status: 502, reason: 'replica_failed' }
 }
 
 function retryElsewhere (context: RouterContext, request: RequestState, cause: string): NextStep {
-  logDecision(context, request, 'retried', { cause, replica: request.runAt, attempt: request.attempt })
-  if (request.runAt !== undefined) request.excluded.add(request.runAt)
+  logDecision(context, request, 'retried', { cause, replica: request.runReplicaId, attempt: request.attempt })
+  if (request.runReplicaId !== undefined) request.excluded.add(request.runReplicaId)
   context.effects.push({ type: 'abort_send', key: request.key })
-  leaveRun(context, request)
+  releaseRun(context, request)
   return { type: 'plain' }
 }
 
-function chooseReplica (context: RouterContext, request: RequestState): ReplicaBelief | undefined {
+function chooseReplica (context: RouterContext, request: RequestState): ReplicaView | undefined {
   const usable = sampleCandidates(context, usableReplicas(context, request, stageFor(request)))
-  let best: ReplicaBelief | undefined
+  let best: ReplicaView | undefined
   let bestMs = Infinity
   for (const view of usable) {
     const expectedMs = expectedLatencyMs(view) - permitPreferenceMs(context, view)
@@ -152,23 +152,23 @@
 }
 
 // Starts at a random index, so that replicas with equal latency share the load.
-function sampleCandidates (context: RouterContext, views: ReplicaBelief[]): ReplicaBelief[] {
+function sampleCandidates (context: RouterContext, views: ReplicaView[]): ReplicaView[] {
   const start = Math.floor(draw(context.state) * views.length)
   return [...views.slice(start), ...views.slice(0, start)].slice(0, MAX_CANDIDATES)
 }
 
 // Grows with the queue length and with the failure rate, since each failure costs another attempt.
-function expectedLatencyMs ({ failureShare, inFlight, latencyMs, replica }: ReplicaBelief): number {
+function expectedLatencyMs ({ failureShare, inFlight, latencyMs, replica }: ReplicaView): number {
   const meanMs = latencyMs === 0 ? INITIAL_LATENCY_MS : latencyMs
   return meanMs * (1 + inFlight / Math.max(1, replica.slots)) / (1 - Math.min(0.9, failureShare)) ** 2
 }
 
 // Permits expire soon. Spending one leaves the replicas without a limit to requests that have no permit.
-function permitPreferenceMs ({ state }: RouterContext, view: ReplicaBelief): number {
+function permitPreferenceMs ({ state }: RouterContext, view: ReplicaView): number {
   return limitOf(state, view.replica) === undefined ? 0 : PERMIT_PREFERENCE_SHARE * expectedLatencyMs(view) + PERMIT_PREFERENCE_MS
 }
 
-function tryTimeoutMsOf (request: RequestState, view: ReplicaBelief): number | undefined {
+function tryTimeoutMsOf (request: RequestState, view: ReplicaView): number | undefined {
   if (!mayRunAgain(request) || request.runs >= request.route.maxAttempts) return undefined
   return Math.max(MIN_TRY_TIMEOUT_MS, TRY_TIMEOUT_FACTOR * view.latencyMs)
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterPools.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterPools.ts
@@ -8,12 +8,12 @@
 import { balancePools, isIdle, refillPools } from '../pools/BendfallRouterPoolBalance.js'
 import type { PoolMember, StageChange } from '../pools/BendfallRouterPoolBalance.js'
 import { isLeaving, stageOf } from './BendfallRouterBelief.js'
-import { isOpen } from './BendfallRouterNotice.js'
-import { takePermit } from './BendfallRouterPermits.js'
+import { isAcceptingRequests } from './BendfallRouterNotice.js'
+import { tryUsePermit } from './BendfallRouterPermits.js'
 import type { PoolIntent } from '../pools/BendfallRouterPoolIntent.js'
 import type { RouterContext } from './BendfallRouterContext.js'
 import type { RouterEventOf } from './BendfallRouterEvents.js'
-import type { ObservedWork, PoolOrder, ReplicaBelief } from './BendfallRouterState.js'
+import type { ObservedWork, PoolOrder, ReplicaView } from './BendfallRouterState.js'
 
 /** Weight of the newest sample in the moving average: at two samples a second it covers the last twelve seconds, longer than a burst lasts. */
 const SAMPLE_WEIGHT = 0.04
@@ -88,14 +88,14 @@
 }
 
 // Ignores replicas that are leaving, since their ledgers may terminate before them.
-function hasEnoughLoads ({ state }: RouterContext, views: readonly ReplicaBelief[], measured: readonly ReplicaBelief[]): boolean {
+function hasEnoughLoads ({ state }: RouterContext, views: readonly ReplicaView[], measured: readonly ReplicaView[]): boolean {
   const staying = views.filter((view) => !isLeaving(state, view)).length
   const known = measured.filter((view) => !isLeaving(state, view)).length
   return staying > 0 && (known >= staying * MIN_MEASURED_SHARE || known >= MAX_LOAD_REQUESTS)
 }
 
 // An empty pool is refilled without waiting for load samples or for a change of the other pool to settle.
-function chooseChanges (context: RouterContext, service: string, views: readonly ReplicaBelief[], observed: ObservedWork, intent: PoolIntent): StageChange[] {
+function chooseChanges (context: RouterContext, service: string, views: readonly ReplicaView[], observed: ObservedWork, intent: PoolIntent): StageChange[] {
   const members = views.map((view) => toMember(context, view))
   const previous = context.state.poolOrders.get(service)
   const isSettling = previous !== undefined && context.nowMs < previous.settledAtMs && !isOrderLost(context, previous)
@@ -113,7 +113,7 @@
 
 // Requests the loads that are oldest. A sample of a large fleet describes its pools as well as the
 // whole fleet does, and polling all of 1,200 replicas would need an instance of its own.
-function requestOldestLoads ({ effects, nowMs }: RouterContext, views: readonly ReplicaBelief[]): void {
+function requestOldestLoads ({ effects, nowMs }: RouterContext, views: readonly ReplicaView[]): void {
   const due = views.filter(({ ledgerDownUntilMs, loadAtMs }) => ledgerDownUntilMs <= nowMs && nowMs - loadAtMs >= LOAD_INTERVAL_MS)
   const oldest = due.sort((a, b) => a.loadAtMs - b.loadAtMs).slice(0, MAX_LOAD_REQUESTS)
   if (oldest.length > 0) effects.push({ type: 'ask_loads', replicaIds: oldest.map(({ replica }) => replica.replicaId) })
@@ -125,7 +125,7 @@
  * @param context - state, time and effects of the current event
  * @param event - outcome of the order at its replica
  */
-export function takeOrderAnswer (context: RouterContext, event: RouterEventOf<'order_answered'>): void {
+export function handleOrderAnswer (context: RouterContext, event: RouterEventOf<'order_answered'>): void {
   const view = context.state.replicas.get(event.replicaId)
   context.effects.push({ type: 'log', decision: 'order_answered', requestId: '', inputs: { replica: event.replicaId, outcome: event.outcome } })
   const previous = context.state.poolOrders.get(view?.replica.service ?? '')
@@ -142,12 +142,12 @@
 
 function orderStage (context: RouterContext, replicaId: string, stage: 'prefill' | 'decode' | 'plain', fence: number, { readings, work }: ObservedWork): void {
   const view = context.state.replicas.get(replicaId)
-  if (view === undefined || !takePermit(context, view)) return
+  if (view === undefined || !tryUsePermit(context, view)) return
   context.effects.push({ type: 'order_stage', replicaId, address: view.replica.address, stage, fence })
   context.effects.push({ type: 'log', decision: 'stage_ordered', requestId: '', inputs: { replica: replicaId, stage, fence, prefillWork: round(work.prefill), decodeWork: round(work.decode), readings } })
 }
 
-function toMember (context: RouterContext, view: ReplicaBelief): PoolMember {
+function toMember (context: RouterContext, view: ReplicaView): PoolMember {
   const { nowMs, state } = context
   const { load, replica, suspectUntilMs } = view
   return {
@@ -155,14 +155,14 @@
     availabilityZone: replica.availabilityZone,
     stage: stageOf(view),
     // A replica whose load is not known yet counts as serving.
-    isServing: load?.isHealthy !== false && isOpen(context, view) && suspectUntilMs <= nowMs,
+    isServing: load?.isHealthy !== false && isAcceptingRequests(context, view) && suspectUntilMs <= nowMs,
     isLeaving: isLeaving(state, view)
   }
 }
 
 // Extrapolates the mean of the measured replicas to the whole pool. During the first twelve seconds
 // all samples have equal weight, so that the first one does not dominate.
-function updateObservedWork ({ nowMs, state }: RouterContext, service: string, views: readonly ReplicaBelief[], measured: readonly ReplicaBelief[]): ObservedWork {
+function updateObservedWork ({ nowMs, state }: RouterContext, service: string, views: readonly ReplicaView[], measured: readonly ReplicaView[]): ObservedWork {
   const current = { prefill: meanWork(measured, 'prefill') * countOf(views, 'prefill'), decode: meanWork(measured, 'decode') * countOf(views, 'decode') }
   const previous = state.poolWork.get(service) ?? { work: current, sinceMs: nowMs, readings: 0 }
   const readings = previous.readings + 1
@@ -176,11 +176,11 @@
   return observed
 }
 
-function countOf (views: readonly ReplicaBelief[], stage: ReplicaStage): number {
+function countOf (views: readonly ReplicaView[], stage: ReplicaStage): number {
   return views.filter((view) => stageOf(view) === stage).length
 }
 
-function meanWork (measured: readonly ReplicaBelief[], stage: ReplicaStage): number {
+function meanWork (measured: readonly ReplicaView[], stage: ReplicaStage): number {
   const works = measured.filter((view) => stageOf(view) === stage).map(({ load }) => load === undefined ? 0 : workOf(load, stage))
   return works.length === 0 ? 0 : works.reduce((sum, work) => sum + work, 0) / works.length
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterPrefill.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterPrefill.ts
@@ -4,19 +4,19 @@
  *
  * @module
  */
-import { noteFailure, noteSuccess } from './BendfallRouterBelief.js'
+import { recordFailure, recordSuccess } from './BendfallRouterBelief.js'
 import type { NextStep, RouterContext } from './BendfallRouterContext.js'
 import { logDecision, registrationsAgeMs, remainingMs } from './BendfallRouterContext.js'
-import { noteConnectionLost } from './BendfallRouterCrashes.js'
-import { leavePrefill, leavePrefillSlot } from './BendfallRouterEnd.js'
+import { recordConnectionLost } from './BendfallRouterCrashes.js'
+import { releasePrefill, releasePrefillSlot } from './BendfallRouterEnd.js'
 import type { PrefillOutcome, SendFailure } from './BendfallRouterEvents.js'
-import { askLoads } from './BendfallRouterLoads.js'
-import { backlogOf, planPrefill, PREFILL_CALL_MS } from './BendfallRouterPrefillPlan.js'
-import { hasNotRun, takeRetry } from './BendfallRouterRetry.js'
-import { coverSends, noteRead, noteSendFailed, paySend, refuseUnpaid, sendPrefill } from './BendfallRouterSend.js'
+import { requestLoads } from './BendfallRouterLoads.js'
+import { backlogTokensOf, planPrefill, PREFILL_OVERHEAD_MS } from './BendfallRouterPrefillPlan.js'
+import { hasNotRun, authorizeRetry } from './BendfallRouterRetry.js'
+import { reserveSends, recordPrefillProcessed, recordSendFailure, chargeSend, refuseOverBudget, sendPrefill } from './BendfallRouterSend.js'
 import { TICK_MS } from './BendfallRouterStandstill.js'
 import type { RequestState } from './BendfallRouterRequest.js'
-import type { ReplicaBelief } from './BendfallRouterState.js'
+import type { ReplicaView } from './BendfallRouterState.js'
 
 /** Weight of the newest prefill in the moving average of the prefill speed. */
 const SPEED_WEIGHT = 0.05
@@ -42,30 +42,30 @@
  * @returns the next step
  */
 export function startPrefill (context: RouterContext, request: RequestState): NextStep {
-  if (askLoads(context, request, 'prefill')) return undefined
-  const zone = context.state.replicas.get(request.reservedAt ?? '')?.replica.availabilityZone
+  if (requestLoads(context, request, 'prefill')) return undefined
+  const zone = context.state.replicas.get(request.reservedReplicaId ?? '')?.replica.availabilityZone
   const plan = planPrefill(context, request, zone)
   if (plan === undefined) {
     request.reading = 'in_place_only'
     return { type: 'run' }
   }
-  const { belief: view, leadMs } = plan
-  const charge = paySend(context, request, view)
-  if (charge === 'closed' || charge === 'unpaid') return refuseUnpaid(request)
+  const { view, leadMs } = plan
+  const charge = chargeSend(context, request, view)
+  if (charge === 'closed' || charge === 'unpaid') return refuseOverBudget(request)
   const { address, replicaId } = view.replica
   request.phase = 'prefill'
   request.attempt += 1
   request.sends += 1
-  request.prefillAt = replicaId
+  request.prefillReplicaId = replicaId
   request.sentTo = { replicaId, startedAtMs: view.replica.startedAtMs }
   request.prefillSentAtMs = context.nowMs
-  request.answersSinceMs = undefined
+  request.answerStartedAtMs = undefined
   const promptTokens = request.prompt?.promptTokens ?? 0
-  request.isPrefillAlone = backlogOf(view) === 0
+  request.isPrefillAlone = backlogTokensOf(view) === 0
   request.prefillLeadMs = leadMs
   request.prefillBookingId = claimPrefillSlot(context, request, replicaId) ?? `${request.requestId}/${request.attempt}`
   view.prefillTokens += promptTokens
-  view.prefillSinceLoad += promptTokens
+  view.prefillTokensSinceLoad += promptTokens
   context.effects.push({ type: 'announce_prefill', replicaId, bookingId: request.prefillBookingId, promptTokens })
   sendPrefill(context, request, charge, {
     key: request.key,
@@ -74,7 +74,7 @@
     address,
     deadlineMs: remainingMs(context, request),
     tryTimeoutMs: leadMs * TIMEOUT_FACTOR + TIMEOUT_EXTRA_MS
-  }, { replica: replicaId, leadMs: Math.round(leadMs), backlogTokens: backlogOf(view) - promptTokens, registrationsAgeMs: registrationsAgeMs(context), attempt: request.attempt })
+  }, { replica: replicaId, leadMs: Math.round(leadMs), backlogTokens: backlogTokensOf(view) - promptTokens, registrationsAgeMs: registrationsAgeMs(context), attempt: request.attempt })
   return undefined
 }
 
@@ -87,19 +87,19 @@
  * @param handleTtlMs - time for which the replica keeps the result
  * @returns the next step
  */
-export function takePrefillAnswer (context: RouterContext, request: RequestState, outcome: PrefillOutcome, handleTtlMs: number): NextStep {
-  const replicaId = request.prefillAt ?? ''
+export function handlePrefillAnswer (context: RouterContext, request: RequestState, outcome: PrefillOutcome, handleTtlMs: number): NextStep {
+  const replicaId = request.prefillReplicaId ?? ''
   const view = context.state.replicas.get(replicaId)
-  if (outcome.type === 'failed') return takePrefillFailure(context, request, outcome.failure)
-  noteRead(context, request)
+  if (outcome.type === 'failed') return handlePrefillFailure(context, request, outcome.failure)
+  recordPrefillProcessed(context, request)
   const tookMs = context.nowMs - (request.prefillSentAtMs ?? context.nowMs)
   if (view !== undefined) {
     learnSpeed(context, request, tookMs)
     learnTimeFactor(view, tookMs, request.prefillLeadMs)
-    noteSuccess(view)
+    recordSuccess(view)
     request.handle = { replicaId, startedAtMs: view.replica.startedAtMs, address: view.replica.address, handle: outcome.handle, expiresAtMs: earliestReadyAtMs(context) + handleTtlMs }
   }
-  leavePrefill(context, request)
+  releasePrefill(context, request)
   logDecision(context, request, 'prefill_done', { replica: replicaId, tookMs: Math.round(tookMs) })
   return { type: 'confirm' }
 }
@@ -113,23 +113,23 @@
  * @param failure - how the call failed, which decides whether it may have run
  * @returns the next step
  */
-export function takePrefillFailure (context: RouterContext, request: RequestState, failure: SendFailure): NextStep {
-  const replicaId = request.prefillAt ?? ''
+export function handlePrefillFailure (context: RouterContext, request: RequestState, failure: SendFailure): NextStep {
+  const replicaId = request.prefillReplicaId ?? ''
   const view = context.state.replicas.get(replicaId)
-  if (failure === 'connection_lost') noteConnectionLost(context, request)
-  if (view !== undefined) noteFailure(view, context.nowMs, failure)
+  if (failure === 'connection_lost') recordConnectionLost(context, request)
+  if (view !== undefined) recordFailure(view, context.nowMs, failure)
   request.excluded.add(replicaId)
-  leavePrefill(context, request)
-  noteSendFailed(context, request, failure)
+  releasePrefill(context, request)
+  recordSendFailure(context, request, failure)
   // A call that was not sent is refunded above; the first one that a replica may process is free as well.
-  if (!hasNotRun(failure)) noteRead(context, request)
+  if (!hasNotRun(failure)) recordPrefillProcessed(context, request)
   context.effects.push({ type: 'abort_send', key: request.key })
   // A prefill is idempotent, so it may be retried even if it has run.
-  const isRetried = takeRetry(context, request, hasNotRun(failure) ? failure : 'not_run')
+  const isRetried = authorizeRetry(context, request, hasNotRun(failure) ? failure : 'not_run')
   logDecision(context, request, 'prefill_failed', { replica: replicaId, failure, isRetried })
   if (isRetried) return { type: 'prefill' }
   request.reading = 'in_place_only'
-  return coverSends(context, request, 1) ? { type: 'run' } : refuseUnpaid(request)
+  return reserveSends(context, request, 1) ? { type: 'run' } : refuseOverBudget(request)
 }
 
 // Ticks are events too, so a longer gap means that this process was paused and that the response may
@@ -142,22 +142,22 @@
 function claimPrefillSlot (context: RouterContext, request: RequestState, replicaId: string): string | undefined {
   const { prefillSlot } = request
   if (prefillSlot?.replicaId !== replicaId) {
-    leavePrefillSlot(context, request)
+    releasePrefillSlot(context, request)
     return undefined
   }
   request.prefillSlot = undefined
   return prefillSlot.bookingId
 }
 
-function learnTimeFactor (view: ReplicaBelief, tookMs: number, leadMs: number | undefined): void {
+function learnTimeFactor (view: ReplicaView, tookMs: number, leadMs: number | undefined): void {
   if (leadMs === undefined || leadMs <= 0) return
-  const timeFactor = view.prefillPace * Math.min(MAX_TIME_RATIO, Math.max(1 / MAX_TIME_RATIO, tookMs / leadMs))
-  view.prefillPace += TIME_FACTOR_WEIGHT * (timeFactor - view.prefillPace)
+  const timeFactor = view.prefillTimeFactor * Math.min(MAX_TIME_RATIO, Math.max(1 / MAX_TIME_RATIO, tookMs / leadMs))
+  view.prefillTimeFactor += TIME_FACTOR_WEIGHT * (timeFactor - view.prefillTimeFactor)
 }
 
 // Only a prefill that had the replica to itself yields a valid speed sample.
 function learnSpeed ({ state }: RouterContext, request: RequestState, tookMs: number): void {
   const promptTokens = request.prompt?.promptTokens ?? 0
   if (promptTokens === 0 || request.isPrefillAlone !== true) return
-  state.prefillMsPerToken += SPEED_WEIGHT * (Math.max(0, tookMs - PREFILL_CALL_MS) / promptTokens - state.prefillMsPerToken)
+  state.prefillMsPerToken += SPEED_WEIGHT * (Math.max(0, tookMs - PREFILL_OVERHEAD_MS) / promptTokens - state.prefillMsPerToken)
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterPrefillPlan.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterPrefillPlan.ts
@@ -6,13 +6,13 @@
  */
 import type { RouterContext } from './BendfallRouterContext.js'
 import { draw } from './BendfallRouterContext.js'
-import { knownReplicas } from './BendfallRouterLoads.js'
+import { candidateReplicas } from './BendfallRouterLoads.js'
 import type { RequestState } from './BendfallRouterRequest.js'
-import type { ReplicaBelief } from './BendfallRouterState.js'
+import type { ReplicaView } from './BendfallRouterState.js'
 
 /** Replica chosen for a prefill and the predicted time until the prefill is complete. */
 export interface PrefillPlan {
-  readonly belief: ReplicaBelief
+  readonly view: ReplicaView
   readonly leadMs: number
 }
 
@@ -20,7 +20,7 @@
 const CROSS_ZONE_COST_MS = 30
 
 /** Fixed time of a prefill; a linear fit over 323 prompts processed one at a time has an intercept of 63 to 86 ms. */
-export const PREFILL_CALL_MS = 75
+export const PREFILL_OVERHEAD_MS = 75
 
 /**
  * Chooses the replica with the lowest predicted cost for the prefill of a request.
@@ -32,16 +32,16 @@
  */
 export function planPrefill (context: RouterContext, request: RequestState, availabilityZone?: string): PrefillPlan | undefined {
   if (request.reading !== 'apart') return undefined
-  const usable = knownReplicas(context, request, 'prefill')
+  const usable = candidateReplicas(context, request, 'prefill')
   const start = Math.floor(draw(context.state) * usable.length)
   let best: PrefillPlan | undefined
   let bestMs = Infinity
   for (let i = 0; i < usable.length; i++) {
-    const view = usable[(start + i) % usable.length] as ReplicaBelief
+    const view = usable[(start + i) % usable.length] as ReplicaView
     const leadMs = predictLeadMs(context, request, view)
     const costMs = leadMs + (availabilityZone === undefined || context.state.decisions.zones === 'any' || view.replica.availabilityZone === availabilityZone ? 0 : CROSS_ZONE_COST_MS)
     if (costMs >= bestMs || (best !== undefined && context.state.decisions.replica === 'random')) continue
-    best = { belief: view, leadMs }
+    best = { view, leadMs }
     bestMs = costMs
   }
   return best
@@ -55,12 +55,12 @@
  * @param view - replica that would process the prompt
  * @returns milliseconds
  */
-export function ownLeadMs ({ state }: RouterContext, request: RequestState, view: ReplicaBelief): number {
-  return ((request.prompt?.promptTokens ?? 0) * state.prefillMsPerToken + PREFILL_CALL_MS) * view.prefillPace
+export function idleLeadMs ({ state }: RouterContext, request: RequestState, view: ReplicaView): number {
+  return ((request.prompt?.promptTokens ?? 0) * state.prefillMsPerToken + PREFILL_OVERHEAD_MS) * view.prefillTimeFactor
 }
 
-function predictLeadMs (context: RouterContext, request: RequestState, view: ReplicaBelief): number {
-  return ownLeadMs(context, request, view) + backlogOf(view) * context.state.prefillMsPerToken * view.prefillPace
+function predictLeadMs (context: RouterContext, request: RequestState, view: ReplicaView): number {
+  return idleLeadMs(context, request, view) + backlogTokensOf(view) * context.state.prefillMsPerToken * view.prefillTimeFactor
 }
 
 /**
@@ -69,6 +69,6 @@
  * @param view - replica to inspect
  * @returns tokens sent by this process and by other entries
  */
-export function backlogOf ({ load, prefillSinceLoad, prefillTokens }: ReplicaBelief): number {
-  return Math.max(prefillTokens, (load?.backlogTokens ?? 0) + prefillSinceLoad)
+export function backlogTokensOf ({ load, prefillTokensSinceLoad, prefillTokens }: ReplicaView): number {
+  return Math.max(prefillTokens, (load?.backlogTokens ?? 0) + prefillTokensSinceLoad)
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterPrefillQueue.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterPrefillQueue.ts
@@ -6,17 +6,17 @@
  */
 import type { NextStep, RouterContext } from './BendfallRouterContext.js'
 import { logDecision } from './BendfallRouterContext.js'
-import { noteLedgerLost } from './BendfallRouterBelief.js'
-import { leavePrefillSlot } from './BendfallRouterEnd.js'
+import { recordLedgerUnreachable } from './BendfallRouterBelief.js'
+import { releasePrefillSlot } from './BendfallRouterEnd.js'
 import type { ReserveOutcome } from './BendfallRouterEvents.js'
-import { askLoads, knownReplicas } from './BendfallRouterLoads.js'
+import { requestLoads, candidateReplicas } from './BendfallRouterLoads.js'
 import { refuseBackoff } from './BendfallRouterNotice.js'
-import { backlogOf, ownLeadMs, planPrefill } from './BendfallRouterPrefillPlan.js'
+import { backlogTokensOf, idleLeadMs, planPrefill } from './BendfallRouterPrefillPlan.js'
 import { awaitPermit } from './BendfallRouterPermitWait.js'
-import { wantPermits } from './BendfallRouterPermits.js'
-import { canReadNow, chooseReading } from './BendfallRouterReading.js'
-import { coverRuns, refusedShare } from './BendfallRouterRefusals.js'
-import { dueMs, longestWaitMs, refuseMemory } from './BendfallRouterReserve.js'
+import { requestMissingPermits } from './BendfallRouterPermits.js'
+import { canPrefillNow, choosePrefillPlacement } from './BendfallRouterReading.js'
+import { reserveExpectedRuns, refusedShare } from './BendfallRouterRefusals.js'
+import { msUntilLate, computeMaxWaitMs, refuseForCapacity } from './BendfallRouterReserve.js'
 import type { RequestState } from './BendfallRouterRequest.js'
 
 /** `Retry-After` while most runs are refused; recent refusals have decayed to half their weight by then. */
@@ -33,30 +33,30 @@
  * @returns the next step
  */
 export function startQueue (context: RouterContext, request: RequestState): NextStep {
-  wantPermits(context, request, 'prefill')
-  wantPermits(context, request, 'decode')
-  if (askLoads(context, request, 'queue')) return undefined
+  requestMissingPermits(context, request, 'prefill')
+  requestMissingPermits(context, request, 'decode')
+  if (requestLoads(context, request, 'queue')) return undefined
   const limited = awaitPermit(context, request, 'decode', 'queue')
   if (limited !== undefined) return limited.next
   const refused = refuseBackoff(context, request, 'decode')
   if (refused !== undefined) return refused
-  request.reading = chooseReading(context, request)
-  if (request.reading === 'apart' && !coverRuns(context, request)) return avoidWastedPrefill(context, request)
+  request.reading = choosePrefillPlacement(context, request)
+  if (request.reading === 'apart' && !reserveExpectedRuns(context, request)) return avoidWastedPrefill(context, request)
   const plan = planPrefill(context, request)
   if (plan === undefined) return { type: 'reserve' }
   if (context.state.decisions.prefillSlots === 'none') return { type: 'reserve' }
-  const { belief: view } = plan
-  const backlogTokens = backlogOf(view)
+  const { view } = plan
+  const backlogTokens = backlogTokensOf(view)
   if (backlogTokens < NO_QUEUE_BACKLOG_TOKENS || view.ledgerDownUntilMs > context.nowMs) return { type: 'reserve' }
-  const leadMs = ownLeadMs(context, request, view)
-  const maxWaitMs = longestWaitMs(context, request, leadMs)
+  const leadMs = idleLeadMs(context, request, view)
+  const maxWaitMs = computeMaxWaitMs(context, request, leadMs)
   if (maxWaitMs <= 0) return { type: 'reserve' }
   const { replicaId } = view.replica
   const promptTokens = request.prompt?.promptTokens ?? 0
   request.phase = 'queue'
   request.attempt += 1
   request.prefillSlot = { replicaId, bookingId: `${request.requestId}/${request.attempt}` }
-  view.prefillSinceLoad += promptTokens
+  view.prefillTokensSinceLoad += promptTokens
   logDecision(context, request, 'prefill_queued', { replica: replicaId, backlogTokens, loadAgeMs: Math.round(context.nowMs - view.loadAtMs), maxWaitMs: Math.round(maxWaitMs) })
   context.effects.push({
     type: 'queue_prefill',
@@ -67,7 +67,7 @@
     leadMs,
     maxWaitMs,
     priority: request.priority,
-    targetMs: Math.max(0, dueMs(context, request))
+    targetMs: Math.max(0, msUntilLate(context, request))
   })
   return undefined
 }
@@ -76,7 +76,7 @@
 // refusal wastes no prefill.
 function avoidWastedPrefill (context: RouterContext, request: RequestState): NextStep {
   logDecision(context, request, 'reading_avoided', { refusedShare: refusedShare(context, request.service) })
-  const canPrefillInPlace = !request.isReadingRefused && knownReplicas(context, request, 'decode').some((view) => canReadNow(view, request))
+  const canPrefillInPlace = !request.isInPlaceRefused && candidateReplicas(context, request, 'decode').some((view) => canPrefillNow(view, request))
   if (!canPrefillInPlace) return { type: 'refuse', status: request.runs > 0 ? 502 : 503, reason: 'replica_refused', retryAfterMs: MOSTLY_REFUSED_RETRY_MS }
   request.reading = 'in_place'
   return { type: 'reserve' }
@@ -90,17 +90,17 @@
  * @param outcome - response of the queue
  * @returns the next step
  */
-export function takeQueueAnswer (context: RouterContext, request: RequestState, outcome: ReserveOutcome): NextStep {
+export function handleQueueAnswer (context: RouterContext, request: RequestState, outcome: ReserveOutcome): NextStep {
   const replicaId = request.prefillSlot?.replicaId ?? ''
   logDecision(context, request, `prefill_slot_${outcome.type}`, { replica: replicaId })
   if (outcome.type === 'granted') return { type: 'reserve' }
-  leavePrefillSlot(context, request)
+  releasePrefillSlot(context, request)
   if (outcome.type === 'replica_lost') {
     request.excluded.add(replicaId)
     return { type: 'queue' }
   }
-  if (outcome.type === 'refused') return refuseMemory(context, request, outcome.retryAfterMs, 'prefill_busy')
+  if (outcome.type === 'refused') return refuseForCapacity(context, request, outcome.retryAfterMs, 'prefill_busy')
   const view = context.state.replicas.get(replicaId)
-  if (view !== undefined) noteLedgerLost(view, context.nowMs)
+  if (view !== undefined) recordLedgerUnreachable(view, context.nowMs)
   return { type: 'reserve' }
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterReading.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterReading.ts
@@ -8,10 +8,10 @@
  * @module
  */
 import type { RouterContext } from './BendfallRouterContext.js'
-import { knownReplicas } from './BendfallRouterLoads.js'
-import { backlogOf, planPrefill } from './BendfallRouterPrefillPlan.js'
-import type { Reading, RequestState } from './BendfallRouterRequest.js'
-import type { ReplicaBelief, RouterState } from './BendfallRouterState.js'
+import { candidateReplicas } from './BendfallRouterLoads.js'
+import { backlogTokensOf, planPrefill } from './BendfallRouterPrefillPlan.js'
+import type { PrefillPlacement, RequestState } from './BendfallRouterRequest.js'
+import type { ReplicaView, RouterState } from './BendfallRouterState.js'
 
 /** Time from the send to a decode replica until the first event reaches the caller (transfer, first steps, network), measured on days without bursts. */
 export const FIRST_EVENT_MS = 40
@@ -26,14 +26,14 @@
  * @param request - request with a prompt and without booked memory
  * @returns the placement with the earlier expected completion, as far as the settings allow a choice
  */
-export function chooseReading (context: RouterContext, request: RequestState): Reading {
+export function choosePrefillPlacement (context: RouterContext, request: RequestState): PrefillPlacement {
   const { decisions } = context.state
   const plan = planPrefill(context, request)
   if (plan === undefined) return 'in_place_only'
   if (decisions.read === 'in_place') return 'in_place_only'
-  if (decisions.read === 'apart' || request.isReadingRefused) return 'apart'
-  if (plan.leadMs <= readInPlaceMs(context.state, request)) return 'apart'
-  return knownReplicas(context, request, 'decode').some((view) => canReadNow(view, request)) ? 'in_place' : 'apart'
+  if (decisions.read === 'apart' || request.isInPlaceRefused) return 'apart'
+  if (plan.leadMs <= inPlacePrefillMs(context.state, request)) return 'apart'
+  return candidateReplicas(context, request, 'decode').some((view) => canPrefillNow(view, request)) ? 'in_place' : 'apart'
 }
 
 /**
@@ -43,7 +43,7 @@
  * @param request - request with the prompt; without a prompt the duration is 0
  * @returns milliseconds
  */
-export function readInPlaceMs ({ inPlaceMsPerToken }: RouterState, { prompt }: RequestState): number {
+export function inPlacePrefillMs ({ inPlaceMsPerToken }: RouterState, { prompt }: RequestState): number {
   return (prompt?.promptTokens ?? 0) * inPlaceMsPerToken
 }
 
@@ -54,9 +54,9 @@
  * @param request - request with the prompt
  * @returns true if the replica can start the prefill at once
  */
-export function canReadNow (view: ReplicaBelief, { prompt }: RequestState): boolean {
-  const roomTokens = (view.load?.roomTokens[0] ?? 0) - view.bookedSinceLoad
-  return backlogOf(view) === 0 && roomTokens >= (prompt?.promptTokens ?? 0)
+export function canPrefillNow (view: ReplicaView, { prompt }: RequestState): boolean {
+  const roomTokens = (view.load?.roomTokens[0] ?? 0) - view.bookedTokensSinceLoad
+  return backlogTokensOf(view) === 0 && roomTokens >= (prompt?.promptTokens ?? 0)
 }
 
 /**
@@ -66,7 +66,7 @@
  * @param request - request whose response has started
  * @param tookMs - time from its send to the first event
  */
-export function learnReadSpeed (state: RouterState, request: RequestState, tookMs: number): void {
+export function learnInPlaceSpeed (state: RouterState, request: RequestState, tookMs: number): void {
   const promptTokens = request.prompt?.promptTokens ?? 0
   if (promptTokens === 0 || request.reading === 'apart' || request.lastEventId !== undefined) return
   const msPerToken = Math.max(0, tookMs - FIRST_EVENT_MS) / promptTokens
--- a/packages/bendfall-router/src/entry/BendfallRouterReducer.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterReducer.ts
@@ -4,35 +4,35 @@
  *
  * @module
  */
-import { nameProcess } from '../crashes/BendfallRouterCrashRecords.js'
+import { formatProcessName } from '../crashes/BendfallRouterCrashRecords.js'
 import { indexCustomers } from '../customers/BendfallRouterCustomers.js'
-import { giveBackOrphan, startAllotment, takeUnitsAnswer } from './BendfallRouterAllotment.js'
-import { admit, dropHeld, takeHeld } from './BendfallRouterArrival.js'
-import { noteLedgerLost } from './BendfallRouterBelief.js'
+import { returnOrphanedUnits, startAllotment, handleUnitsAnswer } from './BendfallRouterAllotment.js'
+import { admit, dropHeldArrival, drainHeldArrivals } from './BendfallRouterArrival.js'
+import { recordLedgerUnreachable } from './BendfallRouterBelief.js'
 import type { NextStep, RouterContext, StepStarter } from './BendfallRouterContext.js'
 import { logDecision } from './BendfallRouterContext.js'
 import type { RouterEffect } from './BendfallRouterEffects.js'
 import { endCancelled, endCut, endRefused } from './BendfallRouterEnd.js'
 import type { Arrival, RouterEvent, RouterEventOf } from './BendfallRouterEvents.js'
-import { clearCrashes, noteRequestServed, refuseCause, takeCrashReport, takeReplicaCheck, tellCrashes } from './BendfallRouterCrashes.js'
-import { takeReplicaNotice } from './BendfallRouterNotice.js'
-import { startPlain, takePlainAnswer, takePlainFailure } from './BendfallRouterPlain.js'
-import { balance, takeOrderAnswer } from './BendfallRouterPools.js'
-import { startPrefill, takePrefillAnswer, takePrefillFailure } from './BendfallRouterPrefill.js'
-import { startQueue, takeQueueAnswer } from './BendfallRouterPrefillQueue.js'
-import { startConfirm, takeConfirmAnswer } from './BendfallRouterConfirm.js'
-import { forgetReplica, learnForeign, learnReplica, noteMissing } from './BendfallRouterRegistrations.js'
-import { takePermitWaiters } from './BendfallRouterPermitWait.js'
-import { forgetOldLimits, takePermitsAnswer, learnLimits } from './BendfallRouterReplicaLimit.js'
-import { learnReadSpeed } from './BendfallRouterReading.js'
-import { noteRun } from './BendfallRouterRefusals.js'
-import { startReserve, takeHoldAnswer, takeReserveAnswer } from './BendfallRouterReserve.js'
-import { startRun, takeRunAnswer, takeRunFailure, takeRunTimeout } from './BendfallRouterRun.js'
+import { clearCrashes, recordRequestServed, refuseCrashCause, handleCrashReport, handleReplicaCheck, republishCrashes } from './BendfallRouterCrashes.js'
+import { handleReplicaNotice } from './BendfallRouterNotice.js'
+import { startPlain, handlePlainAnswer, handlePlainFailure } from './BendfallRouterPlain.js'
+import { balance, handleOrderAnswer } from './BendfallRouterPools.js'
+import { startPrefill, handlePrefillAnswer, handlePrefillFailure } from './BendfallRouterPrefill.js'
+import { startQueue, handleQueueAnswer } from './BendfallRouterPrefillQueue.js'
+import { startConfirm, handleConfirmAnswer } from './BendfallRouterConfirm.js'
+import { handleRegistrationRemoved, reapplyForeign, learnReplica, recordMissing } from './BendfallRouterRegistrations.js'
+import { removePermitWaiters } from './BendfallRouterPermitWait.js'
+import { forgetOldLimits, handlePermitsAnswer, learnLimits } from './BendfallRouterReplicaLimit.js'
+import { learnInPlaceSpeed } from './BendfallRouterReading.js'
+import { recordRunOutcome } from './BendfallRouterRefusals.js'
+import { startReserve, handleHoldAnswer, handleReserveAnswer } from './BendfallRouterReserve.js'
+import { startRun, handleRunAnswer, handleRunFailure, handleRunTimeout } from './BendfallRouterRun.js'
 import type { Phase, RequestState } from './BendfallRouterRequest.js'
 import type { RouterState } from './BendfallRouterState.js'
-import { noteStandstill, park, unpark } from './BendfallRouterStandstill.js'
-import { noteOverdue, noteUnanswered } from './BendfallRouterStalls.js'
-import { chooseSubset } from './BendfallRouterSubset.js'
+import { detectPause, park, unpark } from './BendfallRouterStandstill.js'
+import { recordOverdueCalls, recordUnanswered } from './BendfallRouterStalls.js'
+import { updateSubset } from './BendfallRouterSubset.js'
 
 /** Lifetime of a prefill result when the configuration does not specify it. */
 const DEFAULT_HANDLE_TTL_MS = 500
@@ -59,13 +59,13 @@
 
 const HANDLERS: { readonly [T in RouterEvent['type']]: Handler<T> } = {
   answer_complete: (context, event) => withAttempt(context, event, (request) => {
-    if (event.status < MIN_FAILED_STATUS) noteRequestServed(context, request)
-    return request.phase === 'plain' ? takePlainAnswer(context, request, event) : takeRunAnswer(context, request, event)
+    if (event.status < MIN_FAILED_STATUS) recordRequestServed(context, request)
+    return request.phase === 'plain' ? handlePlainAnswer(context, request, event) : handleRunAnswer(context, request, event)
   }),
   answer_started: (context, event) => withAttempt(context, event, (request) => {
-    request.answersSinceMs = context.nowMs
+    request.answerStartedAtMs = context.nowMs
     if (!request.isCommitted) recordResponseStart(context, request)
-    if (!request.isCommitted && request.phase === 'run') noteRun(context, request.service, 'taken')
+    if (!request.isCommitted && request.phase === 'run') recordRunOutcome(context, request.service, 'taken')
     request.isCommitted = true
     return undefined
   }),
@@ -73,27 +73,27 @@
   caller_left: (context, event) => {
     const request = context.state.requests.get(event.key)
     if (request !== undefined) endCancelled(context, request)
-    else dropHeld(context, event.key)
+    else dropHeldArrival(context, event.key)
   },
   config_learned: (context, event) => applyConfig(context, event),
-  config_proven: ({ state }, { provenAtMs }) => { state.configProvenAtMs = Math.max(state.configProvenAtMs, provenAtMs) },
-  confirm_answered: (context, event) => inPhase(context, event, 'confirm', (request) => takeConfirmAnswer(context, request, event.outcome)),
-  crash_report_learned: takeCrashReport,
+  config_proven: ({ state }, { provenAtMs }) => { state.configVerifiedAtMs = Math.max(state.configVerifiedAtMs, provenAtMs) },
+  confirm_answered: (context, event) => inPhase(context, event, 'confirm', (request) => handleConfirmAnswer(context, request, event.outcome)),
+  crash_report_learned: handleCrashReport,
   crashes_cleared: clearCrashes,
-  crashes_untold: tellCrashes,
+  crashes_untold: republishCrashes,
   deadline_passed: (context, event) => {
     const request = context.state.requests.get(event.key)
     if (request === undefined) return
-    noteUnanswered(context, request)
+    recordUnanswered(context, request)
     advance(context, request, endAtDeadline(request))
   },
-  hold_answered: (context, event) => inPhase(context, event, 'hold', (request) => takeHoldAnswer(context, request, event.outcome)),
+  hold_answered: (context, event) => inPhase(context, event, 'hold', (request) => handleHoldAnswer(context, request, event.outcome)),
   ledger_lost: (context, event) => {
     const view = context.state.replicas.get(event.replicaId)
     if (view === undefined) return
     view.load = undefined
     view.loadAtMs = -Infinity
-    noteLedgerLost(view, context.nowMs)
+    recordLedgerUnreachable(view, context.nowMs)
   },
   limits_learned: learnLimits,
   load_learned: (context, event) => {
@@ -103,53 +103,53 @@
     view.ledgerFailures = 0
     view.ledgerDownUntilMs = -Infinity
     view.loadAtMs = event.atMs
-    view.bookedSinceLoad = 0
-    view.prefillSinceLoad = 0
-    if (event.load.limitPerS !== undefined) learnLimits(context, { limits: [{ processName: nameProcess(view.replica), perS: event.load.limitPerS }] })
-    if (event.load.isLeaving === true) takeReplicaNotice(context, { replicaId: event.load.replicaId, notice: { isLeaving: true } })
+    view.bookedTokensSinceLoad = 0
+    view.prefillTokensSinceLoad = 0
+    if (event.load.limitPerS !== undefined) learnLimits(context, { limits: [{ processName: formatProcessName(view.replica), perS: event.load.limitPerS }] })
+    if (event.load.isLeaving === true) handleReplicaNotice(context, { replicaId: event.load.replicaId, notice: { isLeaving: true } })
   },
-  loads_answered: (context, event) => withAttempt(context, event, ({ afterLoads, phase }) =>
-    phase === 'loads' && afterLoads !== undefined ? { type: afterLoads } : undefined),
-  order_answered: takeOrderAnswer,
+  loads_answered: (context, event) => withAttempt(context, event, ({ stepAfterLoads, phase }) =>
+    phase === 'loads' && stepAfterLoads !== undefined ? { type: stepAfterLoads } : undefined),
+  order_answered: handleOrderAnswer,
   permits_answered: (context, event) => {
-    takePermitsAnswer(context, event)
-    for (const { request, step } of takePermitWaiters(context, event.replicaId)) advance(context, request, { type: step })
+    handlePermitsAnswer(context, event)
+    for (const { request, step } of removePermitWaiters(context, event.replicaId)) advance(context, request, { type: step })
   },
   prefill_answered: (context, event) => inPhase(context, event, 'prefill', (request) =>
-    takePrefillAnswer(context, request, event.outcome, handleTtlMs(context.state, request))),
-  prefill_queue_answered: (context, event) => inPhase(context, event, 'queue', (request) => takeQueueAnswer(context, request, event.outcome)),
-  replica_checked: takeReplicaCheck,
-  replica_spoke: takeReplicaNotice,
-  replicas_missing: (context, event) => noteMissing(context, event.replicaIds),
+    handlePrefillAnswer(context, request, event.outcome, handleTtlMs(context.state, request))),
+  prefill_queue_answered: (context, event) => inPhase(context, event, 'queue', (request) => handleQueueAnswer(context, request, event.outcome)),
+  replica_checked: handleReplicaCheck,
+  replica_spoke: handleReplicaNotice,
+  replicas_missing: (context, event) => recordMissing(context, event.replicaIds),
   replicas_current: (context) => { context.state.replicasCurrentAtMs = context.nowMs },
   replicas_refreshed: (context) => {
     for (const { request, step } of unpark(context)) advance(context, request, { type: step })
-    for (const arrival of takeHeld(context.state)) handleArrival(context, arrival)
+    for (const arrival of drainHeldArrivals(context.state)) handleArrival(context, arrival)
   },
   replicas_changed: (context, event) => {
-    for (const replicaId of event.gone) forgetReplica(context, replicaId)
+    for (const replicaId of event.gone) handleRegistrationRemoved(context, replicaId)
     for (const replica of event.present) learnReplica(context, replica)
-    chooseSubset(context.state)
+    updateSubset(context.state)
   },
   request_arrived: (context, event) => handleArrival(context, event.arrival),
-  reserve_answered: (context, event) => inPhase(context, event, 'reserve', (request) => takeReserveAnswer(context, request, event.outcome)),
+  reserve_answered: (context, event) => inPhase(context, event, 'reserve', (request) => handleReserveAnswer(context, request, event.outcome)),
   run_failed: (context, event) => withAttempt(context, event, (request) =>
-    request.phase === 'plain' ? takePlainFailure(context, request, event.failure) : takeRunFailure(context, request, event)),
+    request.phase === 'plain' ? handlePlainFailure(context, request, event.failure) : handleRunFailure(context, request, event)),
   stop_asked: (context, event) => { context.state.stop = { askedAtMs: event.atMs, killAtMs: event.atMs + event.graceMs } },
   time_passed: (context) => {
-    noteOverdue(context)
+    recordOverdueCalls(context)
     forgetOldLimits(context)
   },
   try_timed_out: (context, event) => withAttempt(context, event, (request) => {
-    logDecision(context, request, 'try_timed_out', { replica: request.runAt ?? request.prefillAt, phase: request.phase })
-    if (request.phase === 'prefill') return takePrefillFailure(context, request, 'unknown')
+    logDecision(context, request, 'try_timed_out', { replica: request.runReplicaId ?? request.prefillReplicaId, phase: request.phase })
+    if (request.phase === 'prefill') return handlePrefillFailure(context, request, 'unknown')
     if (request.isCommitted) return undefined
-    if (request.phase === 'run') return takeRunTimeout(context, request)
-    return request.phase === 'plain' ? takePlainFailure(context, request, 'unknown') : undefined
+    if (request.phase === 'run') return handleRunTimeout(context, request)
+    return request.phase === 'plain' ? handlePlainFailure(context, request, 'unknown') : undefined
   }),
   units_answered: (context, event) => {
-    giveBackOrphan(context, event)
-    inPhase(context, event, 'allotment', (request) => takeUnitsAnswer(context, request, event))
+    returnOrphanedUnits(context, event)
+    inPhase(context, event, 'allotment', (request) => handleUnitsAnswer(context, request, event))
   }
 }
 
@@ -162,7 +162,7 @@
  */
 export function reduceRouter (state: RouterState, event: RouterEvent): RouterEffect[] {
   const context: RouterContext = { state, nowMs: event.atMs, sinceLastEventMs: event.atMs - state.lastEventAtMs, effects: [] }
-  noteStandstill(context, event.aheadMs)
+  detectPause(context, event.suspendedMs)
   const handle = HANDLERS[event.type] as Handler<RouterEvent['type']>
   handle(context, event)
   return context.effects
@@ -189,8 +189,8 @@
   for (let next = first; next !== undefined;) {
     if (next.type === 'refuse') return endRefused(context, request, next.status, next.reason, next.retryAfterMs)
     if (next.type === 'cut') return endCut(context, request, next.reason)
-    if (context.state.isUnsure) return park(request, next.type)
-    next = refuseCause(context, request) ?? STEPS[next.type](context, request)
+    if (context.state.isRefreshPending) return park(request, next.type)
+    next = refuseCrashCause(context, request) ?? STEPS[next.type](context, request)
   }
 }
 
@@ -203,8 +203,8 @@
 function recordResponseStart (context: RouterContext, request: RequestState): void {
   request.isLate = context.nowMs > request.targetAtMs
   const sinceSentMs = Math.round(context.nowMs - (request.runSentAtMs ?? context.nowMs))
-  learnReadSpeed(context.state, request, sinceSentMs)
-  logDecision(context, request, 'answer_started', { route: request.route.name, replica: request.runAt, sinceSentMs, reading: request.reading, isLate: request.isLate })
+  learnInPlaceSpeed(context.state, request, sinceSentMs)
+  logDecision(context, request, 'answer_started', { route: request.route.name, replica: request.runReplicaId, sinceSentMs, reading: request.reading, isLate: request.isLate })
 }
 
 function applyConfig (context: RouterContext, { config }: RouterEventOf<'config_learned'>): void {
@@ -215,8 +215,8 @@
   if (isNewer) {
     state.config = config
     state.customerIndex = indexCustomers(config)
-    learnForeign(context)
-    chooseSubset(state)
+    reapplyForeign(context)
+    updateSubset(state)
   }
   context.effects.push({ type: 'log', decision: isNewer ? 'config_in_force' : 'config_ignored', requestId: '', inputs: { version: config.version, former: previous, routes: config.routes.length, customers: config.customers?.length } })
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterRefusals.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterRefusals.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import type { RouterContext } from './BendfallRouterContext.js'
-import { coverSends } from './BendfallRouterSend.js'
+import { reserveSends } from './BendfallRouterSend.js'
 import type { RequestState } from './BendfallRouterRequest.js'
 
 /** Half-life of an outcome; replicas that refused accept work again within seconds. */
@@ -35,7 +35,7 @@
  * @param service - name of the service that the replica belongs to
  * @param outcome - decision of the replica; `taken` if it accepted the run
  */
-export function noteRun ({ nowMs, state }: RouterContext, service: string, outcome: 'refused' | 'taken'): void {
+export function recordRunOutcome ({ nowMs, state }: RouterContext, service: string, outcome: 'refused' | 'taken'): void {
   const outcomes = decayedOutcomes(state.runOutcomes.get(service), nowMs)
   outcomes[outcome] += 1
   state.runOutcomes.set(service, outcomes)
@@ -67,11 +67,11 @@
  * @param request - request whose prompt is not processed yet
  * @returns true if the budget is reserved or none is needed; false if the prefill would most likely be wasted
  */
-export function coverRuns (context: RouterContext, request: RequestState): boolean {
+export function reserveExpectedRuns (context: RouterContext, request: RequestState): boolean {
   const share = refusedShare(context, request.service)
   if (share <= MAX_WASTED_SHARE) return true
   const retries = retriesFor(share)
-  return retries <= MAX_RETRIES && coverSends(context, request, 1 + retries)
+  return retries <= MAX_RETRIES && reserveSends(context, request, 1 + retries)
 }
 
 // Number of retries after which the probability that all runs are refused is at most the accepted share.
--- a/packages/bendfall-router/src/entry/BendfallRouterRegistrations.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterRegistrations.ts
@@ -7,10 +7,10 @@
 import type { Replica } from '../BendfallRouterTypes.js'
 import { isLeaving } from './BendfallRouterBelief.js'
 import type { RouterContext } from './BendfallRouterContext.js'
-import { noteProcessGone } from './BendfallRouterCrashes.js'
-import { isOldWord, noteDeparted } from './BendfallRouterDeparted.js'
-import { addReplica, removeReplica, renewReplica, replicaAt } from './BendfallRouterMembers.js'
-import { endFormerIncarnation } from './BendfallRouterRestarts.js'
+import { recordProcessGone } from './BendfallRouterCrashes.js'
+import { isStaleRegistration, recordDeparted } from './BendfallRouterDeparted.js'
+import { addReplica, removeReplica, updateRegistration, findReplicaByAddress } from './BendfallRouterMembers.js'
+import { endPreviousIncarnation } from './BendfallRouterRestarts.js'
 import type { RouterState } from './BendfallRouterState.js'
 
 /**
@@ -25,18 +25,18 @@
   const { state } = context
   const { replicaId } = replica
   const known = state.replicas.get(replicaId)
-  if (known !== undefined ? isOutdated(replica, known.replica) : isOldWord(context, replica)) return
+  if (known !== undefined ? isOutdated(replica, known.replica) : isStaleRegistration(context, replica)) return
   if (isForeign(state, replica)) return recordForeign(context, replica)
   state.foreign.delete(replicaId)
   if (known !== undefined && isSameIncarnation(replica, known.replica)) {
     const { isDraining, stage } = known.replica
     // The known load may date from before the change of stage.
     if (stage !== replica.stage) known.load = undefined
-    renewReplica(state, known, replica)
+    updateRegistration(state, known, replica)
     if (isDraining !== replica.isDraining || stage !== replica.stage) logLearned(context, replica)
     return
   }
-  endFormerIncarnation(context, replica)
+  endPreviousIncarnation(context, replica)
   if (!claimAddress(context, replica)) return
   addReplica(state, replica)
   logLearned(context, replica)
@@ -47,7 +47,7 @@
  *
  * @param context - state, time and effects of the current event
  */
-export function learnForeign (context: RouterContext): void {
+export function reapplyForeign (context: RouterContext): void {
   for (const replica of [...context.state.foreign.values()]) learnReplica(context, replica)
 }
 
@@ -99,12 +99,12 @@
  * @param context - state, time and effects of the current event
  * @param replicaId - id of the removed registration
  */
-export function forgetReplica (context: RouterContext, replicaId: string): void {
+export function handleRegistrationRemoved (context: RouterContext, replicaId: string): void {
   const { effects, state } = context
   const last = state.replicas.get(replicaId)?.replica
   if (last !== undefined) {
-    noteDeparted(context, last)
-    noteProcessGone(context, last)
+    recordDeparted(context, last)
+    recordProcessGone(context, last)
   }
   const isKnown = removeReplica(state, replicaId)
   state.foreign.delete(replicaId)
@@ -122,7 +122,7 @@
  * @param context - state, time and effects of the current event
  * @param replicaIds - ids of the missing registrations; unknown ids are ignored
  */
-export function noteMissing ({ effects, state }: RouterContext, replicaIds: readonly string[]): void {
+export function recordMissing ({ effects, state }: RouterContext, replicaIds: readonly string[]): void {
   for (const replicaId of replicaIds) {
     const view = state.replicas.get(replicaId)
     if (view === undefined || state.missing.has(replicaId)) continue
@@ -134,7 +134,7 @@
 // Returns false if a later registration already uses the address.
 function claimAddress (context: RouterContext, replica: Replica): boolean {
   const { state } = context
-  const current = replicaAt(state, replica.address)?.replica
+  const current = findReplicaByAddress(state, replica.address)?.replica
   if (current === undefined || state.decisions.addresses === 'all') return true
   const isLater = isLaterIncarnation(replica, current)
   if (isLater) replaceReplica(context, current, replica)
@@ -150,7 +150,7 @@
 function replaceReplica (context: RouterContext, previous: Replica, successor: Replica): void {
   const { effects, state } = context
   removeReplica(state, previous.replicaId)
-  noteProcessGone(context, previous)
+  recordProcessGone(context, previous)
   state.replaced.delete(successor.replicaId)
   if (state.replaced.get(previous.replicaId) === successor.replicaId) return
   state.replaced.set(previous.replicaId, successor.replicaId)
--- a/packages/bendfall-router/src/entry/BendfallRouterReplicaLimit.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterReplicaLimit.ts
@@ -4,16 +4,16 @@
  *
  * @module
  */
-import { nameProcess, readReplicaId } from '../crashes/BendfallRouterCrashRecords.js'
+import { formatProcessName, parseReplicaId } from '../crashes/BendfallRouterCrashRecords.js'
 import type { Replica, ReplicaStage } from '../BendfallRouterTypes.js'
-import type { PermitAsk } from '../limits/BendfallRouterPermitKeeper.js'
-import { addLearnedLimit, createAsk, createLiftedAsk, forgetLimits, takeLimitNotice, takePermits } from '../limits/BendfallRouterReplicaLimits.js'
+import type { PermitRequest } from '../limits/BendfallRouterPermitKeeper.js'
+import { addLearnedLimit, createPermitRequest, createLimitLiftedRequest, dropStaleLimits, applyLimitNotice, applyPermitOutcome } from '../limits/BendfallRouterReplicaLimits.js'
 import type { LimitChange, LimitNotice, ReplicaLimit } from '../limits/BendfallRouterReplicaLimits.js'
 import { backoffLeftMs } from '../notices/BendfallRouterNotices.js'
 import { isLeaving, stageOf } from './BendfallRouterBelief.js'
 import type { RouterContext } from './BendfallRouterContext.js'
 import type { RouterEventOf } from './BendfallRouterEvents.js'
-import { countSent } from './BendfallRouterRecentSends.js'
+import { countRecentSends } from './BendfallRouterRecentSends.js'
 import type { RequestState } from './BendfallRouterRequest.js'
 import type { RouterState } from './BendfallRouterState.js'
 
@@ -31,7 +31,7 @@
  * @returns the limit; undefined if the process advertises none
  */
 export function limitOf ({ limits }: RouterState, replica: Replica): ReplicaLimit | undefined {
-  return limits.size === 0 ? undefined : limits.get(nameProcess(replica))
+  return limits.size === 0 ? undefined : limits.get(formatProcessName(replica))
 }
 
 /**
@@ -54,19 +54,19 @@
  * @param notice - notice decoded from the response headers
  * @param sentAtMs - time at which the request was sent
  */
-export function takeLimit (context: RouterContext, replica: Replica, notice: LimitNotice, sentAtMs: number): void {
+export function handleLimitNotice (context: RouterContext, replica: Replica, notice: LimitNotice, sentAtMs: number): void {
   const { effects, nowMs, state } = context
-  const processName = nameProcess(replica)
+  const processName = formatProcessName(replica)
   const { replicaId } = replica
   if (notice.type === 'unreadable') effects.push({ type: 'log', decision: 'replica_limit_unreadable', requestId: '', inputs: { replica: replicaId, text: notice.text } })
-  const change = takeLimitNotice(state.limits, processName, notice, sentAtMs, nowMs)
+  const change = applyLimitNotice(state.limits, processName, notice, sentAtMs, nowMs)
   logChange(context, replicaId, change, 'answer')
   const limit = state.limits.get(processName)
   if (change === 'named' && limit !== undefined) {
-    limit.sentBefore = countSent(state.replicas.get(replicaId)?.recentSends, nowMs)
-    askPermits(context, replicaId, limit, 0)
+    limit.sentBefore = countRecentSends(state.replicas.get(replicaId)?.recentSends, nowMs)
+    requestPermits(context, replicaId, limit, 0)
   }
-  if (change === 'lifted') effects.push({ type: 'ask_permits', replicaId, ask: createLiftedAsk(processName, state.instanceId, nowMs - sentAtMs), inMs: 0 })
+  if (change === 'lifted') effects.push({ type: 'ask_permits', replicaId, ask: createLimitLiftedRequest(processName, state.instanceId, nowMs - sentAtMs), inMs: 0 })
 }
 
 /**
@@ -78,13 +78,13 @@
 export function learnLimits (context: RouterContext, { limits }: Pick<RouterEventOf<'limits_learned'>, 'limits'>): void {
   const { nowMs, state } = context
   for (const namedLimit of limits) {
-    const replicaId = readReplicaId(namedLimit.processName)
+    const replicaId = parseReplicaId(namedLimit.processName)
     const replica = state.replicas.get(replicaId)?.replica
-    if (replica === undefined || nameProcess(replica) !== namedLimit.processName || state.limits.has(namedLimit.processName)) continue
+    if (replica === undefined || formatProcessName(replica) !== namedLimit.processName || state.limits.has(namedLimit.processName)) continue
     addLearnedLimit(state.limits, namedLimit, nowMs)
     logChange(context, replicaId, 'named', 'document')
     const limit = limitOf(state, replica)
-    if (limit !== undefined) limit.sentBefore = countSent(state.replicas.get(replicaId)?.recentSends, nowMs)
+    if (limit !== undefined) limit.sentBefore = countRecentSends(state.replicas.get(replicaId)?.recentSends, nowMs)
   }
 }
 
@@ -94,12 +94,12 @@
  * @param context - state, time and effects of the current event
  * @param event - the request with its outcome
  */
-export function takePermitsAnswer (context: RouterContext, { ask, outcome, replicaId }: RouterEventOf<'permits_answered'>): void {
+export function handlePermitsAnswer (context: RouterContext, { ask, outcome, replicaId }: RouterEventOf<'permits_answered'>): void {
   const { nowMs, state } = context
   const limit = state.limits.get(ask.processName)
   // A request without a limit only reported that the limit was lifted.
   if (limit === undefined || ask.perS === undefined) return
-  const change = takePermits(state.limits, limit, ask, outcome, nowMs)
+  const change = applyPermitOutcome(state.limits, limit, ask, outcome, nowMs)
   logChange(context, replicaId, change, 'keeper')
   logPermits(context, replicaId, limit, ask, outcome.type)
 }
@@ -111,8 +111,8 @@
   effects.push({ type: 'log', decision: `replica_limit_${change}`, requestId: '', inputs: { replica: replicaId, perS: limit?.perS, from, ageMs: limit === undefined ? undefined : Math.round(nowMs - limit.heardAtMs) } })
 }
 
-function logPermits ({ effects, nowMs }: RouterContext, replicaId: string, { entries, nextAskAtMs, perS, permits }: ReplicaLimit, { sentBefore, wanted }: PermitAsk, outcome: string): void {
-  effects.push({ type: 'log', decision: 'permits_answered', requestId: '', inputs: { replica: replicaId, outcome, perS, wanted, permits, sentBefore, nextInMs: Math.max(0, Math.round(nextAskAtMs - nowMs)), entries } })
+function logPermits ({ effects, nowMs }: RouterContext, replicaId: string, { entries, nextRequestAtMs, perS, permits }: ReplicaLimit, { sentBefore, wanted }: PermitRequest, outcome: string): void {
+  effects.push({ type: 'log', decision: 'permits_answered', requestId: '', inputs: { replica: replicaId, outcome, perS, wanted, permits, sentBefore, nextInMs: Math.max(0, Math.round(nextRequestAtMs - nowMs)), entries } })
 }
 
 /**
@@ -121,7 +121,7 @@
  * @param context - state, time and effects of the current event
  */
 export function forgetOldLimits ({ nowMs, state }: RouterContext): void {
-  if (state.limits.size > 0) forgetLimits(state.limits, nowMs)
+  if (state.limits.size > 0) dropStaleLimits(state.limits, nowMs)
 }
 
 /**
@@ -135,7 +135,7 @@
 export function limitedReplicas ({ nowMs, state }: RouterContext, request: RequestState, stage: ReplicaStage): LimitedReplica[] {
   return (state.usedByService.get(request.service) ?? []).flatMap((view) => {
     const limit = limitOf(state, view.replica)
-    const isCandidate = limit !== undefined && stageOf(view) === stage && !isLeaving(state, view) && !request.excluded.has(view.replica.replicaId) && backoffLeftMs(state.notices, nameProcess(view.replica), nowMs) === 0
+    const isCandidate = limit !== undefined && stageOf(view) === stage && !isLeaving(state, view) && !request.excluded.has(view.replica.replicaId) && backoffLeftMs(state.notices, formatProcessName(view.replica), nowMs) === 0
     return isCandidate ? [{ replicaId: view.replica.replicaId, limit }] : []
   })
 }
@@ -148,6 +148,6 @@
  * @param limit - rate limit of that replica
  * @param inMs - delay before the request is sent
  */
-export function askPermits ({ effects, nowMs, state }: RouterContext, replicaId: string, limit: ReplicaLimit, inMs: number): void {
-  effects.push({ type: 'ask_permits', replicaId, ask: createAsk(limit, state.instanceId, nowMs), inMs })
+export function requestPermits ({ effects, nowMs, state }: RouterContext, replicaId: string, limit: ReplicaLimit, inMs: number): void {
+  effects.push({ type: 'ask_permits', replicaId, ask: createPermitRequest(limit, state.instanceId, nowMs), inMs })
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterRequest.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterRequest.ts
@@ -27,7 +27,7 @@
  * Where a prompt is prefilled: on a prefill replica (`apart`), or on the decode replica because that
  * is faster (`in_place`) or because no prefill replica can be used (`in_place_only`).
  */
-export type Reading = 'apart' | 'in_place' | 'in_place_only'
+export type PrefillPlacement = 'apart' | 'in_place' | 'in_place_only'
 
 /** Step that waits for loads of replicas. */
 export type LoadStep = 'queue' | 'reserve' | 'prefill'
@@ -39,10 +39,10 @@
 export type PermitStep = 'plain' | 'queue' | 'reserve'
 
 /** Permit acquired in advance for a run on a replica with a rate limit. */
-export interface CarriedPermit {
+export interface RunPermit {
   /** Name of the process that the permit is for. */
   readonly processName: string
-  readonly takenAtMs: number
+  readonly acquiredAtMs: number
 }
 
 /** Slot in the queue of a prefill replica. */
@@ -93,16 +93,16 @@
   /** Incremented by each step that waits for a response, so that responses to earlier steps are dropped. */
   attempt: number
   /** When loads of replicas were last requested for it. */
-  loadsAskedAtMs: number
+  loadsRequestedAtMs: number
   /** Step to start once the loads have arrived. */
-  afterLoads?: LoadStep
+  stepAfterLoads?: LoadStep
   /** Step to start once the registrations have been read again. */
-  parked?: ParkedStep
+  parkedStep?: ParkedStep
   /** Step to retry once permits have arrived. */
   permitStep?: PermitStep
   /** When it stops waiting for permits. */
   permitWaitUntilMs?: number
-  permit?: CarriedPermit
+  permit?: RunPermit
   /** Sends whose replica may have run the request. */
   runs: number
   /** Sends to replicas, both prefills and runs. */
@@ -116,7 +116,7 @@
   /** Shortest wait that a refusing ledger returned. */
   retryAfterMs?: number
   /** Replica at which memory is booked or requested. */
-  reservedAt?: string
+  reservedReplicaId?: string
   /** Id of the booking in the ledger of that replica. */
   bookingId?: string
   /** Prefill slot that the request waits for or has. */
@@ -124,7 +124,7 @@
   /** Memory that the replica itself holds while its ledger is unavailable. */
   hold?: ReplicaHold
   /** Replica on which the prefill is in progress. */
-  prefillAt?: string
+  prefillReplicaId?: string
   prefillSentAtMs?: number
   /** Predicted duration of that prefill. */
   prefillLeadMs?: number
@@ -132,25 +132,25 @@
   prefillBookingId?: string
   /** Whether the replica had no known backlog when the prompt was sent. */
   isPrefillAlone?: boolean
-  reading: Reading
+  reading: PrefillPlacement
   /** Whether in-place prefill was tried and no decode replica could start it at once. */
-  isReadingRefused: boolean
+  isInPlaceRefused: boolean
   handle?: PrefillResult
   /** Prefill result used by the last send. */
-  triedHandle?: PrefillResult
+  sentHandle?: PrefillResult
   /** Replica process that the last send went to. */
   sentTo?: ReplicaProcess
   /** Replica that the request was sent to for its run. */
-  runAt?: string
+  runReplicaId?: string
   runSentAtMs?: number
   /** When the response of that run started; absent before. */
-  answersSinceMs?: number
+  answerStartedAtMs?: number
   /** Whether bytes of a response were sent to the caller. */
   isCommitted: boolean
   /** Whether the first byte of the response was late. */
   isLate: boolean
   /** When the response that is to be resumed was interrupted. */
-  brokenOffAtMs?: number
+  interruptedAtMs?: number
   /** Id of the last event that the caller received completely. */
   lastEventId?: string
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterReserve.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterReserve.ts
@@ -5,20 +5,20 @@
  * @module
  */
 import type { Prompt } from '../BendfallRouterTypes.js'
-import { noteLedgerLost } from './BendfallRouterBelief.js'
+import { recordLedgerUnreachable } from './BendfallRouterBelief.js'
 import type { NextStep, RouterContext } from './BendfallRouterContext.js'
 import { logDecision } from './BendfallRouterContext.js'
-import { leaveReservation } from './BendfallRouterEnd.js'
-import { startHold, takeHold } from './BendfallRouterHold.js'
+import { releaseReservation } from './BendfallRouterEnd.js'
+import { startHold, applyHoldOutcome } from './BendfallRouterHold.js'
 import type { HoldOutcome, ReserveOutcome } from './BendfallRouterEvents.js'
-import { askLoads, knownReplicas } from './BendfallRouterLoads.js'
-import { chooseOption, expectedTokens, hintOf } from './BendfallRouterMemoryOptions.js'
+import { requestLoads, candidateReplicas } from './BendfallRouterLoads.js'
+import { chooseMemoryOption, expectedTokens, estimateOutputTokens } from './BendfallRouterMemoryOptions.js'
 import type { MemoryOption } from './BendfallRouterMemoryOptions.js'
-import { isOpen, refuseBackoff } from './BendfallRouterNotice.js'
+import { isAcceptingRequests, refuseBackoff } from './BendfallRouterNotice.js'
 import { planPrefill } from './BendfallRouterPrefillPlan.js'
 import { awaitPermit } from './BendfallRouterPermitWait.js'
-import { carryPermit, takePermit, wantPermits } from './BendfallRouterPermits.js'
-import { canReadNow, FIRST_EVENT_MS, readInPlaceMs } from './BendfallRouterReading.js'
+import { acquireRunPermit, tryUsePermit, requestMissingPermits } from './BendfallRouterPermits.js'
+import { canPrefillNow, FIRST_EVENT_MS, inPlacePrefillMs } from './BendfallRouterReading.js'
 import type { RequestState } from './BendfallRouterRequest.js'
 
 /** Number of replicas that may refuse memory before the request is refused. */
@@ -50,30 +50,30 @@
  * @returns the next step
  */
 export function startReserve (context: RouterContext, request: RequestState): NextStep {
-  wantPermits(context, request, 'decode')
-  if (askLoads(context, request, 'reserve')) return undefined
+  requestMissingPermits(context, request, 'decode')
+  if (requestLoads(context, request, 'reserve')) return undefined
   return request.reading === 'in_place' ? reserveInPlace(context, request) : reserveMemory(context, request)
 }
 
 // In-place prefill is chosen to start sooner, so a replica that requires a wait is not used for it.
 function reserveInPlace (context: RouterContext, request: RequestState): NextStep {
-  const candidates = knownReplicas(context, request, 'decode').filter((view) => canReadNow(view, request))
+  const candidates = candidateReplicas(context, request, 'decode').filter((view) => canPrefillNow(view, request))
   if (candidates.length === 0) return fallBackToPrefillPool(context, request)
-  const best = chooseOption(context, request, candidates)
+  const best = chooseMemoryOption(context, request, candidates)
   return best === undefined || best.waitMs > 0 ? fallBackToPrefillPool(context, request) : requestReservation(context, request, best, 0, 0)
 }
 
 function reserveMemory (context: RouterContext, request: RequestState): NextStep {
-  const decodes = knownReplicas(context, request, 'decode')
+  const decodes = candidateReplicas(context, request, 'decode')
   const limited = decodes.length === 0 ? awaitPermit(context, request, 'decode', 'reserve') : undefined
   if (limited !== undefined) return limited.next
-  if (decodes.length === 0) return refuseBackoff(context, request, 'decode') ?? refuseMemory(context, request, NO_REPLICA_RETRY_MS, 'no_replica')
+  if (decodes.length === 0) return refuseBackoff(context, request, 'decode') ?? refuseForCapacity(context, request, NO_REPLICA_RETRY_MS, 'no_replica')
   const plan = planPrefill(context, request)
   const leadMs = request.handle !== undefined ? 0 : plan?.leadMs ?? 0
-  const maxWaitMs = longestWaitMs(context, request, leadMs)
-  const best = chooseOption(context, request, decodes)
+  const maxWaitMs = computeMaxWaitMs(context, request, leadMs)
+  const best = chooseMemoryOption(context, request, decodes)
   if (best === undefined || maxWaitMs < 0 || best.waitMs > maxWaitMs + leadMs) {
-    return refuseMemory(context, request, Math.min(best?.waitMs ?? Infinity, request.retryAfterMs ?? Infinity), 'no_memory')
+    return refuseForCapacity(context, request, Math.min(best?.waitMs ?? Infinity, request.retryAfterMs ?? Infinity), 'no_memory')
   }
   return requestReservation(context, request, best, leadMs, maxWaitMs)
 }
@@ -86,16 +86,16 @@
  * @param outcome - response of the ledger, or why there is none
  * @returns the next step
  */
-export function takeReserveAnswer (context: RouterContext, request: RequestState, outcome: ReserveOutcome): NextStep {
-  const replicaId = request.reservedAt ?? ''
+export function handleReserveAnswer (context: RouterContext, request: RequestState, outcome: ReserveOutcome): NextStep {
+  const replicaId = request.reservedReplicaId ?? ''
   const view = context.state.replicas.get(replicaId)
   logDecision(context, request, `reservation_${outcome.type}`, { replica: replicaId })
   if (outcome.type === 'granted') return stepAfterReservation(request)
   if (outcome.type === 'unreachable') {
-    if (view !== undefined) noteLedgerLost(view, context.nowMs)
-    if (view === undefined || !isOpen(context, view)) return retryReservation(context, request)
-    if (!takePermit(context, view)) return stepAfterReservation(request)
-    return startHold(context, request, view, expectedTokens(request), request.handle === undefined ? planPrefill(context, request)?.leadMs ?? readInPlaceMs(context.state, request) : 0)
+    if (view !== undefined) recordLedgerUnreachable(view, context.nowMs)
+    if (view === undefined || !isAcceptingRequests(context, view)) return retryReservation(context, request)
+    if (!tryUsePermit(context, view)) return stepAfterReservation(request)
+    return startHold(context, request, view, expectedTokens(request), request.handle === undefined ? planPrefill(context, request)?.leadMs ?? inPlacePrefillMs(context.state, request) : 0)
   }
   if (outcome.type === 'replica_lost') return retryWithoutReplica(context, request, replicaId)
   if (request.reading === 'in_place') return fallBackToPrefillPool(context, request)
@@ -113,25 +113,25 @@
  * @param outcome - response of the replica, or why there is none
  * @returns the next step
  */
-export function takeHoldAnswer (context: RouterContext, request: RequestState, outcome: HoldOutcome): NextStep {
-  if (takeHold(context, request, outcome)) return stepAfterReservation(request)
+export function handleHoldAnswer (context: RouterContext, request: RequestState, outcome: HoldOutcome): NextStep {
+  if (applyHoldOutcome(context, request, outcome)) return stepAfterReservation(request)
   request.refusals += 1
-  if (request.reservedAt !== undefined) request.excluded.add(request.reservedAt)
+  if (request.reservedReplicaId !== undefined) request.excluded.add(request.reservedReplicaId)
   return retryReservation(context, request)
 }
 
 // Tries another replica. A lost replica does not count as a refusal for lack of memory.
 function retryWithoutReplica (context: RouterContext, request: RequestState, replicaId: string): NextStep {
-  leaveReservation(context, request)
+  releaseReservation(context, request)
   request.excluded.add(replicaId)
   return { type: 'reserve' }
 }
 
 // Falls back to a prefill replica, since no decode replica can start the prefill at once.
 function fallBackToPrefillPool (context: RouterContext, request: RequestState): NextStep {
-  leaveReservation(context, request)
+  releaseReservation(context, request)
   request.reading = 'apart'
-  request.isReadingRefused = true
+  request.isInPlaceRefused = true
   return { type: 'queue' }
 }
 
@@ -140,31 +140,31 @@
 }
 
 function retryReservation (context: RouterContext, request: RequestState): NextStep {
-  leaveReservation(context, request)
+  releaseReservation(context, request)
   if (request.refusals < MAX_REFUSALS) return { type: 'reserve' }
-  return refuseMemory(context, request, request.retryAfterMs ?? MIN_RETRY_MS, 'no_memory')
+  return refuseForCapacity(context, request, request.retryAfterMs ?? MIN_RETRY_MS, 'no_memory')
 }
 
 function requestReservation (context: RouterContext, request: RequestState, option: MemoryOption, leadMs: number, maxWaitMs: number): NextStep {
-  const { belief: view } = option
+  const { view } = option
   const prompt = request.prompt as Prompt
   const { address, replicaId } = view.replica
   request.phase = 'reserve'
   request.attempt += 1
-  request.reservedAt = replicaId
+  request.reservedReplicaId = replicaId
   request.bookingId = `${request.requestId}/${request.attempt}`
-  view.bookedSinceLoad += prompt.promptTokens + hintOf(prompt)
+  view.bookedTokensSinceLoad += prompt.promptTokens + estimateOutputTokens(prompt)
   view.ownTokens += prompt.promptTokens
   const readsInPlace = request.reading !== 'apart' && request.handle === undefined
-  const readMs = readsInPlace ? readInPlaceMs(context.state, request) : 0
-  if (readsInPlace) view.prefillSinceLoad += prompt.promptTokens
+  const readMs = readsInPlace ? inPlacePrefillMs(context.state, request) : 0
+  if (readsInPlace) view.prefillTokensSinceLoad += prompt.promptTokens
   logDecision(context, request, 'reservation_asked', {
     replica: replicaId, waitMs: Math.round(option.waitMs), roomTokens: Math.round(option.roomTokens), loadAgeMs: Math.round(context.nowMs - view.loadAtMs), leadMs: Math.round(leadMs), maxWaitMs: Math.round(maxWaitMs), reading: request.reading
   })
-  carryPermit(context, request, view)
+  acquireRunPermit(context, request, view)
   if (context.state.decisions.reserve === 'none') return stepAfterReservation(request)
   // If the rate limit permits only one call, the run takes precedence over the hold.
-  if (view.ledgerDownUntilMs > context.nowMs && !takePermit(context, view)) return stepAfterReservation(request)
+  if (view.ledgerDownUntilMs > context.nowMs && !tryUsePermit(context, view)) return stepAfterReservation(request)
   if (view.ledgerDownUntilMs > context.nowMs) return startHold(context, request, view, expectedTokens(request), leadMs + readMs)
   context.effects.push({
     type: 'reserve',
@@ -174,12 +174,12 @@
     address,
     bookingId: request.bookingId,
     promptTokens: prompt.promptTokens,
-    hintTokens: hintOf(prompt),
+    hintTokens: estimateOutputTokens(prompt),
     maxOutputTokens: prompt.maxOutputTokens,
     leadMs,
     maxWaitMs,
     priority: request.priority,
-    targetMs: Math.max(0, dueMs(context, request) - readMs),
+    targetMs: Math.max(0, msUntilLate(context, request) - readMs),
     readsInPlace
   })
   return undefined
@@ -194,7 +194,7 @@
  * @param reason - resource that is missing
  * @returns the next step
  */
-export function refuseMemory (context: RouterContext, request: RequestState, waitMs: number, reason: 'no_memory' | 'no_replica' | 'prefill_busy'): NextStep {
+export function refuseForCapacity (context: RouterContext, request: RequestState, waitMs: number, reason: 'no_memory' | 'no_replica' | 'prefill_busy'): NextStep {
   if (request.isCommitted) return { type: 'cut', reason }
   const predictedMs = context.state.decisions.retryAfter === 'fixed' ? FIXED_RETRY_MS : waitMs
   const retryAfterMs = Math.min(MAX_RETRY_MS, Math.max(MIN_RETRY_MS, predictedMs))
@@ -211,7 +211,7 @@
  * @param leadMs - predicted time from the end of the wait until the prefill is complete
  * @returns milliseconds; negative if the response would come too late
  */
-export function longestWaitMs ({ nowMs }: RouterContext, request: RequestState, leadMs: number): number {
+export function computeMaxWaitMs ({ nowMs }: RouterContext, request: RequestState, leadMs: number): number {
   if (request.handle === undefined) {
     // The caller's patience restarts with each event. When it was counted from the arrival, 12 of
     // 700 streams on a day with crashes were cut without an attempt to resume them.
@@ -229,10 +229,10 @@
  * @param request - request whose response is due
  * @returns milliseconds; negative if it is late already
  */
-export function dueMs ({ nowMs }: RouterContext, request: RequestState): number {
+export function msUntilLate ({ nowMs }: RouterContext, request: RequestState): number {
   return (request.isCommitted ? callerTimeoutAtMs(request) : request.targetAtMs) - nowMs
 }
 
-function callerTimeoutAtMs ({ arrivedAtMs, brokenOffAtMs, deadlineAtMs, route }: RequestState): number {
-  return Math.min((brokenOffAtMs ?? arrivedAtMs) + route.patienceMs, deadlineAtMs)
+function callerTimeoutAtMs ({ arrivedAtMs, interruptedAtMs, deadlineAtMs, route }: RequestState): number {
+  return Math.min((interruptedAtMs ?? arrivedAtMs) + route.patienceMs, deadlineAtMs)
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterRestarts.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterRestarts.ts
@@ -6,8 +6,8 @@
  * @module
  */
 import type { Replica } from '../BendfallRouterTypes.js'
-import { nameProcess } from '../crashes/BendfallRouterCrashRecords.js'
-import { noteProcessEnded } from './BendfallRouterCrashes.js'
+import { formatProcessName } from '../crashes/BendfallRouterCrashRecords.js'
+import { recordProcessEnded } from './BendfallRouterCrashes.js'
 import { removeReplica } from './BendfallRouterMembers.js'
 import type { RouterContext } from './BendfallRouterContext.js'
 import type { RequestState } from './BendfallRouterRequest.js'
@@ -18,13 +18,13 @@
  * @param context - state, time and effects of the current event
  * @param replica - registration of the new process, also if none was known before
  */
-export function endFormerIncarnation (context: RouterContext, replica: Replica): void {
+export function endPreviousIncarnation (context: RouterContext, replica: Replica): void {
   const { effects, state } = context
   const previous = state.replicas.get(replica.replicaId)?.replica
   if (previous !== undefined) {
-    noteProcessEnded(context, previous, 'registration')
+    recordProcessEnded(context, previous, 'registration')
     // Without start times, both processes have the same name.
-    state.notices.delete(nameProcess(previous))
+    state.notices.delete(formatProcessName(previous))
   }
   const wasKnown = removeReplica(state, replica.replicaId)
   if (wasKnown) removeOrders(context, replica)
@@ -47,9 +47,9 @@
 function failPreviousSend ({ effects }: RouterContext, request: RequestState, replica: Replica): boolean {
   const { sentTo } = request
   if (sentTo === undefined || !isPreviousProcess(sentTo, replica)) return false
-  if (request.runAt !== sentTo.replicaId && request.prefillAt !== sentTo.replicaId) return false
-  request.runAt = undefined
-  request.prefillAt = undefined
+  if (request.runReplicaId !== sentTo.replicaId && request.prefillReplicaId !== sentTo.replicaId) return false
+  request.runReplicaId = undefined
+  request.prefillReplicaId = undefined
   effects.push({ type: 'fail_send', key: request.key })
   return true
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterRetry.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterRetry.ts
@@ -3,11 +3,11 @@
  *
  * @module
  */
-import { isLikelyCause } from './BendfallRouterCrashes.js'
+import { isSuspectedCause } from './BendfallRouterCrashes.js'
 import type { RouterContext } from './BendfallRouterContext.js'
 import { remainingMs } from './BendfallRouterContext.js'
 import type { SendFailure } from './BendfallRouterEvents.js'
-import { coverSends, sendsOfNextTry } from './BendfallRouterSend.js'
+import { reserveSends, countSendsOfNextAttempt } from './BendfallRouterSend.js'
 import type { RequestState } from './BendfallRouterRequest.js'
 
 /**
@@ -51,10 +51,10 @@
  * @param failure - how that send failed
  * @returns true if the request is to be sent again; its sends are reserved then
  */
-export function takeRetry (context: RouterContext, request: RequestState, failure: SendFailure): boolean {
+export function authorizeRetry (context: RouterContext, request: RequestState, failure: SendFailure): boolean {
   if (context.state.decisions.retries === 'none') return false
   if (request.sends >= MAX_SENDS || remainingMs(context, request) < MIN_REMAINING_MS) return false
   if (!hasNotRun(failure) && (!mayRunAgain(request) || request.runs >= request.route.maxAttempts)) return false
-  if (isLikelyCause(context, request)) return false
-  return coverSends(context, request, sendsOfNextTry(request))
+  if (isSuspectedCause(context, request)) return false
+  return reserveSends(context, request, countSendsOfNextAttempt(request))
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterRun.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterRun.ts
@@ -4,16 +4,16 @@
  *
  * @module
  */
-import { noteFailure, noteSuccess } from './BendfallRouterBelief.js'
+import { recordFailure, recordSuccess } from './BendfallRouterBelief.js'
 import type { NextStep, RouterContext } from './BendfallRouterContext.js'
-import { noteConnectionLost } from './BendfallRouterCrashes.js'
-import { logDecision, registrationsAgeMs, noteSent, remainingMs } from './BendfallRouterContext.js'
-import { endAnswered, leaveHandle, leaveReservation, leaveRun } from './BendfallRouterEnd.js'
+import { recordConnectionLost } from './BendfallRouterCrashes.js'
+import { logDecision, registrationsAgeMs, recordSent, remainingMs } from './BendfallRouterContext.js'
+import { endAnswered, releaseHandle, releaseReservation, releaseRun } from './BendfallRouterEnd.js'
 import type { RouterEventOf, SendFailure } from './BendfallRouterEvents.js'
-import { readInPlaceMs } from './BendfallRouterReading.js'
-import { noteRun } from './BendfallRouterRefusals.js'
-import { hasNotRun, mayRunAgain, takeRetry } from './BendfallRouterRetry.js'
-import { coverSends, noteSendFailed, paySend, refuseUnpaid, sendRun } from './BendfallRouterSend.js'
+import { inPlacePrefillMs } from './BendfallRouterReading.js'
+import { recordRunOutcome } from './BendfallRouterRefusals.js'
+import { hasNotRun, mayRunAgain, authorizeRetry } from './BendfallRouterRetry.js'
+import { reserveSends, recordSendFailure, chargeSend, refuseOverBudget, sendRun } from './BendfallRouterSend.js'
 import type { RequestState } from './BendfallRouterRequest.js'
 
 /** Sends of a repeated prefill and of the run; only the first prefill is free. */
@@ -39,18 +39,18 @@
  * @returns the next step
  */
 export function startRun (context: RouterContext, request: RequestState): NextStep {
-  const view = context.state.replicas.get(request.reservedAt ?? '')
+  const view = context.state.replicas.get(request.reservedReplicaId ?? '')
   if (view === undefined) return reserveElsewhere(context, request)
   if (request.handle !== undefined && request.handle.expiresAtMs <= context.nowMs) return repeatPrefill(context, request)
   const { address, replicaId } = view.replica
   const { handle, hold } = request
-  const charge = paySend(context, request, view)
+  const charge = chargeSend(context, request, view)
   if (charge === 'closed') return reserveElsewhere(context, request)
-  if (charge === 'unpaid') return refuseUnpaid(request)
-  noteSent(context, request, view, 'run')
+  if (charge === 'unpaid') return refuseOverBudget(request)
+  recordSent(context, request, view, 'run')
   request.handle = undefined
   request.hold = undefined
-  request.triedHandle = handle
+  request.sentHandle = handle
   sendRun(context, request, charge, {
     key: request.key,
     attempt: request.attempt,
@@ -67,7 +67,7 @@
 }
 
 function reserveElsewhere (context: RouterContext, request: RequestState): NextStep {
-  leaveReservation(context, request)
+  releaseReservation(context, request)
   return { type: 'reserve' }
 }
 
@@ -75,13 +75,13 @@
 // retried elsewhere with the same result.
 function repeatPrefill (context: RouterContext, request: RequestState): NextStep {
   logDecision(context, request, 'result_lapsed', { replica: request.handle?.replicaId })
-  leaveHandle(context, request)
-  return coverSends(context, request, PREFILL_AND_RUN_SENDS) ? { type: 'prefill' } : refuseUnpaid(request)
+  releaseHandle(context, request)
+  return reserveSends(context, request, PREFILL_AND_RUN_SENDS) ? { type: 'prefill' } : refuseOverBudget(request)
 }
 
 function tryTimeoutMsOf ({ state }: RouterContext, request: RequestState, isPrefilled: boolean): number | undefined {
   if (!mayRunAgain(request) || request.runs >= request.route.maxAttempts) return undefined
-  return FIRST_EVENT_TIMEOUT_MS + (isPrefilled ? 0 : IN_PLACE_TIMEOUT_FACTOR * readInPlaceMs(state, request))
+  return FIRST_EVENT_TIMEOUT_MS + (isPrefilled ? 0 : IN_PLACE_TIMEOUT_FACTOR * inPlacePrefillMs(state, request))
 }
 
 /**
@@ -92,12 +92,12 @@
  * @param event - status and output of the response
  * @returns the next step
  */
-export function takeRunAnswer (context: RouterContext, request: RequestState, event: RouterEventOf<'answer_complete'>): NextStep {
-  const replica = request.runAt
+export function handleRunAnswer (context: RouterContext, request: RequestState, event: RouterEventOf<'answer_complete'>): NextStep {
+  const replica = request.runReplicaId
   const view = context.state.replicas.get(replica ?? '')
-  if (view !== undefined && event.status < 500) noteSuccess(view)
-  if (view !== undefined && event.status >= 500) noteFailure(view, context.nowMs)
-  leaveRun(context, request)
+  if (view !== undefined && event.status < 500) recordSuccess(view)
+  if (view !== undefined && event.status >= 500) recordFailure(view, context.nowMs)
+  releaseRun(context, request)
   context.effects.push({ type: 'deliver', key: request.key })
   endAnswered(context, request, { status: event.status, replica, events: event.outputEvents, longestGapMs: event.longestGapMs })
   return undefined
@@ -112,24 +112,24 @@
  * @param event - how the run failed, and the last event that was delivered
  * @returns the next step
  */
-export function takeRunFailure (context: RouterContext, request: RequestState, event: RouterEventOf<'run_failed'>): NextStep {
+export function handleRunFailure (context: RouterContext, request: RequestState, event: RouterEventOf<'run_failed'>): NextStep {
   const { failure } = event
-  const replicaId = request.runAt ?? ''
+  const replicaId = request.runReplicaId ?? ''
   const view = context.state.replicas.get(replicaId)
-  if (failure === 'connection_lost') noteConnectionLost(context, request)
-  if (view !== undefined && failure !== 'not_run') noteFailure(view, context.nowMs, failure)
+  if (failure === 'connection_lost') recordConnectionLost(context, request)
+  if (view !== undefined && failure !== 'not_run') recordFailure(view, context.nowMs, failure)
   if (hasNotRun(failure)) request.runs -= 1
-  if (failure === 'not_run') noteRun(context, request.service, 'refused')
-  noteSendFailed(context, request, failure)
+  if (failure === 'not_run') recordRunOutcome(context, request.service, 'refused')
+  recordSendFailure(context, request, failure)
   if (event.lastEventId !== undefined) request.lastEventId = event.lastEventId
-  if (request.isCommitted) request.brokenOffAtMs = context.nowMs
+  if (request.isCommitted) request.interruptedAtMs = context.nowMs
   request.excluded.add(replicaId)
   logDecision(context, request, 'run_failed', { replica: replicaId, failure, isCommitted: request.isCommitted, attempt: request.attempt })
-  leaveRun(context, request)
-  leaveReservation(context, request)
+  releaseRun(context, request)
+  releaseReservation(context, request)
   keepHandle(context, request, failure)
   const mayResume = !request.isCommitted || context.state.decisions.resume === 'elsewhere'
-  if (mayResume && takeRetry(context, request, failure)) return { type: 'reserve' }
+  if (mayResume && authorizeRetry(context, request, failure)) return { type: 'reserve' }
   if (request.isCommitted) return { type: 'cut', reason: 'replica_failed' }
   if (request.runs > 0) return { type: 'refuse', status: 502, reason: 'replica_failed' }
   return { type: 'refuse', status: 503, reason: 'replica_refused', retryAfterMs: REFUSED_RETRY_MS }
@@ -143,17 +143,17 @@
  * @param request - request that timed out
  * @returns the next step
  */
-export function takeRunTimeout (context: RouterContext, request: RequestState): NextStep {
+export function handleRunTimeout (context: RouterContext, request: RequestState): NextStep {
   context.effects.push({ type: 'abort_send', key: request.key })
-  return takeRunFailure(context, request, { type: 'run_failed', atMs: context.nowMs, key: request.key, attempt: request.attempt, failure: 'unknown' })
+  return handleRunFailure(context, request, { type: 'run_failed', atMs: context.nowMs, key: request.key, attempt: request.attempt, failure: 'unknown' })
 }
 
 // A handle can be used once. It stays valid only if the replica was not reached or refused the run
 // for lack of memory.
 function keepHandle (context: RouterContext, request: RequestState, failure: SendFailure): void {
-  const { triedHandle } = request
-  request.triedHandle = undefined
-  if (triedHandle === undefined || !hasNotRun(failure)) return
-  request.handle = triedHandle
-  if (triedHandle.expiresAtMs <= context.nowMs) leaveHandle(context, request)
+  const { sentHandle } = request
+  request.sentHandle = undefined
+  if (sentHandle === undefined || !hasNotRun(failure)) return
+  request.handle = sentHandle
+  if (sentHandle.expiresAtMs <= context.nowMs) releaseHandle(context, request)
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterSend.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterSend.ts
@@ -5,16 +5,16 @@
  *
  * @module
  */
-import { dropPromises, makeExtra, promiseExtras, spareExtras, undoExtra } from './BendfallRouterBudget.js'
+import { cancelReservedSends, spendExtraSend, reserveExtraSends, availableExtraSends, refundExtraSend } from './BendfallRouterBudget.js'
 import type { NextStep, RouterContext } from './BendfallRouterContext.js'
 import { budgetOf, logDecision } from './BendfallRouterContext.js'
 import type { DecisionInputs, RouterEffectOf } from './BendfallRouterEffects.js'
 import type { SendFailure } from './BendfallRouterEvents.js'
-import { isOpen } from './BendfallRouterNotice.js'
-import { usePermitOf } from './BendfallRouterPermits.js'
-import { noteRecentSend } from './BendfallRouterRecentSends.js'
+import { isAcceptingRequests } from './BendfallRouterNotice.js'
+import { useRunPermit } from './BendfallRouterPermits.js'
+import { recordRecentSend } from './BendfallRouterRecentSends.js'
 import type { RequestState } from './BendfallRouterRequest.js'
-import type { ReplicaBelief } from './BendfallRouterState.js'
+import type { ReplicaView } from './BendfallRouterState.js'
 
 /** `Retry-After` when the retry budget is exhausted. */
 const BUDGET_RETRY_MS = 1_000
@@ -22,25 +22,25 @@
 /** Account of the sends of one request that count against the retry budget. */
 export interface SendAccount {
   /** Sends that arrived or may have arrived, except the free one. */
-  counted: number
+  countedSends: number
   /** Extra sends reserved in the retry budget. */
-  promised: number
+  reservedSends: number
   /** Whether the free prefill is used up, so that another prefill call counts. */
-  hasFreeRead: boolean
+  isFreePrefillUsed: boolean
   /** When the last send was charged to the budget; absent if it was the first one. */
-  extraMadeAtMs?: number
+  extraSentAtMs?: number
 }
 
 /** @returns account of a request that has not been sent yet */
 export function createAccount (): SendAccount {
-  return { counted: 0, promised: 0, hasFreeRead: false }
+  return { countedSends: 0, reservedSends: 0, isFreePrefillUsed: false }
 }
 
 /** What a send is charged to: nothing, as the first of its request, or the retry budget. */
-export type Payment = 'first' | 'budget'
+export type SendCharge = 'first' | 'budget'
 
 /** Why a send must not be made: the budget is exhausted, or its replica accepts no sends. */
-export type Unsent = 'unpaid' | 'closed'
+export type SendRejection = 'unpaid' | 'closed'
 
 /**
  * Reserves retry budget for the next sends of a request before the first of them is made.
@@ -50,17 +50,17 @@
  * @param sends - number of sends that count against the budget
  * @returns true if all are reserved; false if the budget does not suffice
  */
-export function coverSends (context: RouterContext, request: RequestState, sends: number): boolean {
+export function reserveSends (context: RouterContext, request: RequestState, sends: number): boolean {
   const { account } = request
-  const isFirstFree = account.counted === 0
-  const missing = sends - (isFirstFree ? 1 : 0) - account.promised
+  const isFirstFree = account.countedSends === 0
+  const missing = sends - (isFirstFree ? 1 : 0) - account.reservedSends
   if (missing <= 0) return true
   const budget = budgetOf(context, request.service)
-  if (!promiseExtras(budget, context.nowMs, missing)) {
-    logDecision(context, request, 'retry_budget_spent', { service: request.service, missing, retriesLeft: Math.floor(spareExtras(budget, context.nowMs)) })
+  if (!reserveExtraSends(budget, context.nowMs, missing)) {
+    logDecision(context, request, 'retry_budget_spent', { service: request.service, missing, retriesLeft: Math.floor(availableExtraSends(budget, context.nowMs)) })
     return false
   }
-  account.promised += missing
+  account.reservedSends += missing
   return true
 }
 
@@ -70,9 +70,9 @@
  * @param request - request to be retried
  * @returns one for the run, plus one for a repeated prefill
  */
-export function sendsOfNextTry ({ account, handle, prompt, reading, route }: RequestState): number {
+export function countSendsOfNextAttempt ({ account, handle, prompt, reading, route }: RequestState): number {
   const usesPrefillPool = route.hasPrompt && prompt !== undefined && handle === undefined && reading === 'apart'
-  return usesPrefillPool && account.hasFreeRead ? 2 : 1
+  return usesPrefillPool && account.isFreePrefillUsed ? 2 : 1
 }
 
 /**
@@ -84,7 +84,7 @@
  * @param effect - parameters of the send
  * @param inputs - inputs of the decision, for the log
  */
-export function sendPrefill (context: RouterContext, request: RequestState, charge: Payment, effect: Omit<RouterEffectOf<'send_prefill'>, 'type' | 'customer'>, inputs: DecisionInputs): void {
+export function sendPrefill (context: RouterContext, request: RequestState, charge: SendCharge, effect: Omit<RouterEffectOf<'send_prefill'>, 'type' | 'customer'>, inputs: DecisionInputs): void {
   logDecision(context, request, 'prefill_sent', { ...inputs, ...chargeInputs(context, request, charge) })
   context.effects.push({ type: 'send_prefill', ...effect, customer: request.customer?.name })
 }
@@ -98,13 +98,13 @@
  * @param effect - parameters of the send
  * @param inputs - inputs of the decision, for the log
  */
-export function sendRun (context: RouterContext, request: RequestState, charge: Payment, effect: Omit<RouterEffectOf<'send_run'>, 'type' | 'customer'>, inputs: DecisionInputs): void {
+export function sendRun (context: RouterContext, request: RequestState, charge: SendCharge, effect: Omit<RouterEffectOf<'send_run'>, 'type' | 'customer'>, inputs: DecisionInputs): void {
   logDecision(context, request, 'sent', { ...inputs, ...chargeInputs(context, request, charge) })
   context.effects.push({ type: 'send_run', ...effect, customer: request.customer?.name })
 }
 
-function chargeInputs (context: RouterContext, { service }: RequestState, charge: Payment): DecisionInputs {
-  return charge === 'first' ? {} : { paidFrom: charge, retriesLeft: Math.floor(spareExtras(budgetOf(context, service), context.nowMs)) }
+function chargeInputs (context: RouterContext, { service }: RequestState, charge: SendCharge): DecisionInputs {
+  return charge === 'first' ? {} : { paidFrom: charge, retriesLeft: Math.floor(availableExtraSends(budgetOf(context, service), context.nowMs)) }
 }
 
 /**
@@ -117,29 +117,29 @@
  * @param view - replica that the send goes to
  * @returns what the send is charged to, or why it must not be made
  */
-export function paySend (context: RouterContext, request: RequestState, view: ReplicaBelief): Payment | Unsent {
-  if (!isOpen(context, view)) return 'closed'
-  if (request.account.counted > 0 && !coverSends(context, request, 1)) return 'unpaid'
-  if (!usePermitOf(context, request, view)) return 'closed'
+export function chargeSend (context: RouterContext, request: RequestState, view: ReplicaView): SendCharge | SendRejection {
+  if (!isAcceptingRequests(context, view)) return 'closed'
+  if (request.account.countedSends > 0 && !reserveSends(context, request, 1)) return 'unpaid'
+  if (!useRunPermit(context, request, view)) return 'closed'
   const charge = chargeBudget(context, request)
-  if (charge !== 'unpaid') noteRecentSend(view.recentSends, context.nowMs)
+  if (charge !== 'unpaid') recordRecentSend(view.recentSends, context.nowMs)
   return charge
 }
 
-function chargeBudget (context: RouterContext, request: RequestState): Payment | 'unpaid' {
+function chargeBudget (context: RouterContext, request: RequestState): SendCharge | 'unpaid' {
   const { account } = request
-  account.extraMadeAtMs = undefined
-  if (account.counted === 0) {
-    account.counted = 1
+  account.extraSentAtMs = undefined
+  if (account.countedSends === 0) {
+    account.countedSends = 1
     return 'first'
   }
-  account.promised -= 1
-  if (!makeExtra(budgetOf(context, request.service), context.nowMs)) {
+  account.reservedSends -= 1
+  if (!spendExtraSend(budgetOf(context, request.service), context.nowMs)) {
     logDecision(context, request, 'retry_budget_spent', { service: request.service, missing: 1 })
     return 'unpaid'
   }
-  account.counted += 1
-  account.extraMadeAtMs = context.nowMs
+  account.countedSends += 1
+  account.extraSentAtMs = context.nowMs
   return 'budget'
 }
 
@@ -149,7 +149,7 @@
  * @param request - request to refuse; a response that has started is cut instead
  * @returns the next step
  */
-export function refuseUnpaid (request: RequestState): NextStep {
+export function refuseOverBudget (request: RequestState): NextStep {
   if (request.isCommitted) return { type: 'cut', reason: 'budget' }
   if (request.runs > 0) return { type: 'refuse', status: 502, reason: 'replica_failed' }
   return { type: 'refuse', status: 503, reason: 'budget', retryAfterMs: BUDGET_RETRY_MS }
@@ -161,9 +161,9 @@
  * @param context - state, time and effects of the current event
  * @param request - request that the prefill belongs to
  */
-export function noteRead (context: RouterContext, request: RequestState): void {
-  if (request.account.hasFreeRead) return
-  request.account.hasFreeRead = true
+export function recordPrefillProcessed (context: RouterContext, request: RequestState): void {
+  if (request.account.isFreePrefillUsed) return
+  request.account.isFreePrefillUsed = true
   refundSend(context, request)
 }
 
@@ -174,17 +174,17 @@
  * @param request - request whose send failed
  * @param failure - how the send failed
  */
-export function noteSendFailed (context: RouterContext, request: RequestState, failure: SendFailure): void {
+export function recordSendFailure (context: RouterContext, request: RequestState, failure: SendFailure): void {
   if (failure === 'not_sent') refundSend(context, request)
 }
 
 function refundSend (context: RouterContext, request: RequestState): void {
   const { account } = request
-  account.counted -= 1
-  if (account.extraMadeAtMs === undefined) return
-  undoExtra(budgetOf(context, request.service), context.nowMs, account.extraMadeAtMs)
-  account.extraMadeAtMs = undefined
-  account.promised += 1
+  account.countedSends -= 1
+  if (account.extraSentAtMs === undefined) return
+  refundExtraSend(budgetOf(context, request.service), context.nowMs, account.extraSentAtMs)
+  account.extraSentAtMs = undefined
+  account.reservedSends += 1
 }
 
 /**
@@ -193,8 +193,8 @@
  * @param context - state, time and effects of the current event
  * @param request - request that ends
  */
-export function leavePromises (context: RouterContext, request: RequestState): void {
-  if (request.account.promised === 0) return
-  dropPromises(budgetOf(context, request.service), request.account.promised)
-  request.account.promised = 0
+export function releaseReservedSends (context: RouterContext, request: RequestState): void {
+  if (request.account.reservedSends === 0) return
+  cancelReservedSends(budgetOf(context, request.service), request.account.reservedSends)
+  request.account.reservedSends = 0
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterStalls.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterStalls.ts
@@ -8,7 +8,7 @@
  */
 import type { RouterContext } from './BendfallRouterContext.js'
 import type { RequestState } from './BendfallRouterRequest.js'
-import type { ReplicaBelief, RouteBelief } from './BendfallRouterState.js'
+import type { ReplicaView, RouteHealth } from './BendfallRouterState.js'
 
 /** A call is overdue after this multiple of the mean latency, which corresponds to a queueing time of four service times. */
 const OVERDUE_LATENCY_FACTOR = 6
@@ -27,10 +27,10 @@
  *
  * @param context - state, time and effects of the current tick
  */
-export function noteOverdue (context: RouterContext): void {
+export function recordOverdueCalls (context: RouterContext): void {
   const { effects, nowMs, state } = context
   for (const request of state.requests.values()) {
-    const view = state.replicas.get(request.runAt ?? '')
+    const view = state.replicas.get(request.runReplicaId ?? '')
     if (request.phase !== 'plain' || request.isCommitted || view === undefined) continue
     const openMs = nowMs - (request.runSentAtMs ?? nowMs)
     if (openMs < overdueAfterMs(view)) continue
@@ -48,11 +48,11 @@
  * @param context - state, time and effects of the current event
  * @param request - request that is still assigned to its replica
  */
-export function noteUnanswered ({ nowMs, state }: RouterContext, request: RequestState): void {
-  const known = state.replicas.get(request.runAt ?? '')?.routes.get(request.route.name)
+export function recordUnanswered ({ nowMs, state }: RouterContext, request: RequestState): void {
+  const known = state.replicas.get(request.runReplicaId ?? '')?.routes.get(request.route.name)
   if (known === undefined || !known.overdue.delete(request.key)) return
-  known.stalledUntilMs = nowMs + Math.min(MAX_STALL_MS, INITIAL_STALL_MS * 2 ** Math.min(known.hung, 10))
-  known.hung += 1
+  known.stalledUntilMs = nowMs + Math.min(MAX_STALL_MS, INITIAL_STALL_MS * 2 ** Math.min(known.hungCalls, 10))
+  known.hungCalls += 1
 }
 
 /**
@@ -61,7 +61,7 @@
  * @param view - replica that responded
  * @param request - request that was answered
  */
-export function noteAnswered ({ routes }: ReplicaBelief, request: RequestState): void {
+export function recordAnswered ({ routes }: ReplicaView, request: RequestState): void {
   routes.delete(request.route.name)
 }
 
@@ -73,17 +73,17 @@
  * @param nowMs - current monotonic time
  * @returns true while a call is overdue there or one hung a short time ago
  */
-export function isStalled ({ routes }: ReplicaBelief, route: string, nowMs: number): boolean {
+export function isStalled ({ routes }: ReplicaView, route: string, nowMs: number): boolean {
   const known = routes.get(route)
   return known !== undefined && (known.overdue.size > 0 || known.stalledUntilMs > nowMs)
 }
 
-function overdueAfterMs ({ latencyMs }: ReplicaBelief): number {
+function overdueAfterMs ({ latencyMs }: ReplicaView): number {
   return Math.max(MIN_OVERDUE_MS, OVERDUE_LATENCY_FACTOR * latencyMs)
 }
 
-function getOrCreateRouteHealth ({ routes }: ReplicaBelief, route: string): RouteBelief {
-  const known = routes.get(route) ?? { overdue: new Set<string>(), hung: 0, stalledUntilMs: -Infinity }
+function getOrCreateRouteHealth ({ routes }: ReplicaView, route: string): RouteHealth {
+  const known = routes.get(route) ?? { overdue: new Set<string>(), hungCalls: 0, stalledUntilMs: -Infinity }
   routes.set(route, known)
   return known
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterStandstill.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterStandstill.ts
@@ -24,12 +24,12 @@
  * @param context - state, time and effects of the event, before it is handled
  * @param suspendedMs - time that the monotonic clock may not have counted
  */
-export function noteStandstill ({ effects, nowMs, state }: RouterContext, suspendedMs = 0): void {
+export function detectPause ({ effects, nowMs, state }: RouterContext, suspendedMs = 0): void {
   const gapMs = nowMs - state.lastEventAtMs + suspendedMs
   state.lastEventAtMs = nowMs
-  state.configProvenAtMs -= suspendedMs
+  state.configVerifiedAtMs -= suspendedMs
   if (gapMs === Infinity || gapMs <= MIN_PAUSE_MS) return
-  state.isUnsure = true
+  state.isRefreshPending = true
   if (suspendedMs > 0) expireLoadsAndPermits(state)
   effects.push({ type: 'refresh_replicas' })
   effects.push({ type: 'log', decision: 'stood_still', requestId: '', inputs: { gapMs: Math.round(gapMs), suspendedMs: Math.round(suspendedMs), requests: state.requests.size } })
@@ -47,7 +47,7 @@
  * @param step - step to start afterwards
  */
 export function park (request: RequestState, step: ParkedStep): void {
-  request.parked = step
+  request.parkedStep = step
   // Responses to calls of the previous step are dropped.
   request.attempt += 1
 }
@@ -59,10 +59,10 @@
  * @returns requests to resume, each with its step
  */
 export function unpark ({ state }: RouterContext): Array<{ readonly request: RequestState, readonly step: ParkedStep }> {
-  state.isUnsure = false
+  state.isRefreshPending = false
   return [...state.requests.values()].flatMap((request) => {
-    const step = request.parked
-    request.parked = undefined
+    const step = request.parkedStep
+    request.parkedStep = undefined
     return step === undefined ? [] : [{ request, step }]
   })
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterState.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterState.ts
@@ -24,17 +24,17 @@
 import type { RequestState } from './BendfallRouterRequest.js'
 
 /** Health of a replica on one route, as seen by this process. */
-export interface RouteBelief {
+export interface RouteHealth {
   /** Keys of the requests that are overdue there. */
   readonly overdue: Set<string>
   /** Consecutive overdue requests that ended without a response. */
-  hung: number
+  hungCalls: number
   /** Requests of the route avoid the replica until this time unless no other is usable. */
   stalledUntilMs: number
 }
 
 /** This process's view of a replica. */
-export interface ReplicaBelief {
+export interface ReplicaView {
   replica: Replica
   /** Score that ranks the replica for the subset that this entry uses. */
   readonly subsetScore: number
@@ -45,22 +45,22 @@
   /** Sends of this process in the last second. */
   readonly recentSends: RecentSends
   /** Tokens that this process booked there since the last load report. */
-  bookedSinceLoad: number
+  bookedTokensSinceLoad: number
   /** Tokens of the requests of this process that hold memory there, used while its ledger is unavailable. */
   ownTokens: number
   /** Prompt tokens of this process in prefill there; 0 at decode replicas. */
   prefillTokens: number
   /** Prompt tokens that this process sent there and that the last load report does not include. */
-  prefillSinceLoad: number
+  prefillTokensSinceLoad: number
   /** Ratio of the actual to the predicted duration of its prefills; 1 for an average replica. */
-  prefillPace: number
+  prefillTimeFactor: number
   /** Moving average of the share of failed responses, 0 to 1. */
   failureShare: number
   /** Mean response time; 0 before the first measurement. */
   latencyMs: number
   consecutiveFailures: number
   /** Health by name of the route; absent for routes without overdue calls. */
-  readonly routes: Map<string, RouteBelief>
+  readonly routes: Map<string, RouteHealth>
   /** The replica is avoided until this time unless no other is usable. */
   suspectUntilMs: number
   /** Consecutive calls to its ledger without a response. */
@@ -97,10 +97,10 @@
   customerIndex?: CustomerIndex
   readonly credentialLimits: CredentialLimits
   /** Time up to which the configuration is verified to be the newest; moved back by suspensions of the machine. */
-  configProvenAtMs: number
+  configVerifiedAtMs: number
   /** Requests that arrived while the process could not tell whether their API keys are still valid, by request key. */
   readonly heldArrivals: Map<string, Arrival>
-  readonly replicas: Map<string, ReplicaBelief>
+  readonly replicas: Map<string, ReplicaView>
   /** Time up to which all registration changes in the key-value service are known. */
   replicasCurrentAtMs: number
   /** Replicas whose address was taken over by a later registration: from their id to the id of that one. */
@@ -116,7 +116,7 @@
   /** Ids of the model replicas that this entry uses. */
   readonly subset: Set<string>
   /** Views of those and of the replicas without a model, by service. */
-  readonly usedByService: Map<string, ReplicaBelief[]>
+  readonly usedByService: Map<string, ReplicaView[]>
   /** Whether a replica was added or removed, started to drain or changed its pool since the subset was chosen. */
   isSubsetStale: boolean
   readonly requests: Map<string, RequestState>
@@ -134,9 +134,9 @@
   /** Keys of the requests that wait for a permit. */
   readonly permitWaiters: Set<string>
   /** When the caller that was last refused for lack of a permit is to retry, by service. */
-  readonly permitReturns: Map<string, number>
+  readonly lastPermitRetryAtMs: Map<string, number>
   /** Response headers that the router does not decode, each with its replica. */
-  readonly undecoded: Set<string>
+  readonly undecodedHeaders: Set<string>
   /** Replicas that crashed, and the requests that they were running. */
   readonly crashes: CrashRecords
   /** Outcomes of recent runs, by service. */
@@ -154,7 +154,7 @@
   /** Time of the last event. */
   lastEventAtMs: number
   /** Whether the process was paused and has not read the registrations since. */
-  isUnsure: boolean
+  isRefreshPending: boolean
   seed: number
   /** Set once the process has been asked to stop. */
   stop?: { readonly askedAtMs: number, readonly killAtMs: number }
@@ -182,7 +182,7 @@
     instanceId,
     decisions,
     credentialLimits,
-    configProvenAtMs: -Infinity,
+    configVerifiedAtMs: -Infinity,
     heldArrivals: new Map(),
     replicas: new Map(),
     replicasCurrentAtMs: -Infinity,
@@ -202,8 +202,8 @@
     notices: new Map(),
     limits: new Map(),
     permitWaiters: new Set(),
-    permitReturns: new Map(),
-    undecoded: new Set(),
+    lastPermitRetryAtMs: new Map(),
+    undecodedHeaders: new Set(),
     crashes: createCrashRecords(crashLimits),
     runOutcomes: new Map(),
     prefillMsPerToken: INITIAL_PREFILL_MS_PER_TOKEN,
@@ -211,7 +211,7 @@
     poolWork: new Map(),
     poolOrders: new Map(),
     lastEventAtMs: -Infinity,
-    isUnsure: false,
+    isRefreshPending: false,
     seed
   }
 }
--- a/packages/bendfall-router/src/entry/BendfallRouterSubset.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterSubset.ts
@@ -4,9 +4,9 @@
  *
  * @module
  */
-import { nameProcess } from '../crashes/BendfallRouterCrashRecords.js'
-import { hasSaidLeaving } from '../notices/BendfallRouterNotices.js'
-import type { ReplicaBelief, RouterState } from './BendfallRouterState.js'
+import { formatProcessName } from '../crashes/BendfallRouterCrashRecords.js'
+import { isProcessLeaving } from '../notices/BendfallRouterNotices.js'
+import type { ReplicaView, RouterState } from './BendfallRouterState.js'
 
 /** Maximum number of replicas that an entry uses per service and pool; covers the users' small deployments completely. */
 export const SUBSET_SIZE = 12
@@ -16,15 +16,15 @@
  *
  * @param state - state of the entry, changed in place
  */
-export function chooseSubset (state: RouterState): void {
+export function updateSubset (state: RouterState): void {
   if (!state.isSubsetStale) return
   state.isSubsetStale = false
   state.subset.clear()
   state.usedByService.clear()
-  const groups = new Map<string, ReplicaBelief[]>()
+  const groups = new Map<string, ReplicaView[]>()
   for (const view of state.replicas.values()) {
     if (view.replica.stage === 'plain') addToService(state, view)
-    else if (!view.replica.isDraining && !hasSaidLeaving(state.notices, nameProcess(view.replica))) addTo(groups, `${view.replica.service} ${view.replica.stage}`, view)
+    else if (!view.replica.isDraining && !isProcessLeaving(state.notices, formatProcessName(view.replica))) addTo(groups, `${view.replica.service} ${view.replica.stage}`, view)
   }
   for (const group of groups.values()) {
     for (const view of selectBest(group)) {
@@ -34,17 +34,17 @@
   }
 }
 
-function addToService ({ usedByService }: RouterState, view: ReplicaBelief): void {
+function addToService ({ usedByService }: RouterState, view: ReplicaView): void {
   addTo(usedByService, view.replica.service, view)
 }
 
-function addTo (groups: Map<string, ReplicaBelief[]>, name: string, view: ReplicaBelief): void {
+function addTo (groups: Map<string, ReplicaView[]>, name: string, view: ReplicaView): void {
   const group = groups.get(name)
   if (group === undefined) groups.set(name, [view])
   else group.push(view)
 }
 
-function selectBest (group: readonly ReplicaBelief[]): readonly ReplicaBelief[] {
+function selectBest (group: readonly ReplicaView[]): readonly ReplicaView[] {
   if (group.length <= SUBSET_SIZE) return group
   return [...group].sort((a, b) => b.subsetScore - a.subsetScore).slice(0, SUBSET_SIZE)
 }
--- a/packages/bendfall-router/src/ledger/BendfallRouterForecast.ts
+++ b/packages/bendfall-router/src/ledger/BendfallRouterForecast.ts
@@ -20,7 +20,7 @@
 export interface Forecast {
   readonly nowMs: number
   readonly capacityTokens: number
-  readonly occupants: readonly Allocation[]
+  readonly allocations: readonly Allocation[]
 }
 
 /**
@@ -31,8 +31,8 @@
  * @returns tokens; negative if memory is forecast to run out
  */
 export function minRoom (forecast: Forecast, fromMs: number): number {
-  const times = peakTimes(forecast.occupants, fromMs)
-  return Math.min(...times.map((timeMs) => forecast.capacityTokens - occupiedAt(forecast.occupants, timeMs)))
+  const times = peakTimes(forecast.allocations, fromMs)
+  return Math.min(...times.map((timeMs) => forecast.capacityTokens - occupiedAt(forecast.allocations, timeMs)))
 }
 
 /**
@@ -45,7 +45,7 @@
 export function roomByHorizon (forecast: Forecast, freeTokens: number): number[] {
   return ROOM_HORIZONS_MS.map((horizonMs) => {
     const atMs = forecast.nowMs + horizonMs
-    return Math.min(freeTokens + freedBy(forecast.occupants, atMs), minRoom(forecast, atMs))
+    return Math.min(freeTokens + freedBy(forecast.allocations, atMs), minRoom(forecast, atMs))
   })
 }
 
@@ -61,7 +61,7 @@
  * @returns whether the memory suffices throughout
  */
 export function fits (forecast: Forecast, added: Allocation): boolean {
-  const all = [...forecast.occupants, added]
+  const all = [...forecast.allocations, added]
   return peakTimes(all, added.startMs)
     .filter((timeMs) => timeMs <= added.endMs)
     .every((timeMs) => occupiedAt(all, timeMs) <= forecast.capacityTokens)
@@ -76,7 +76,7 @@
  */
 export function delayUntilFit (forecast: Forecast, added: Allocation): number {
   if (fits(forecast, added)) return 0
-  const ends = forecast.occupants.map(({ endMs }) => endMs).filter((endMs) => endMs > added.startMs).sort((a, b) => a - b)
+  const ends = forecast.allocations.map(({ endMs }) => endMs).filter((endMs) => endMs > added.startMs).sort((a, b) => a - b)
   for (const endMs of ends) {
     const delayMs = endMs + RELEASE_DELAY_MS - added.startMs
     if (fits(forecast, { ...added, startMs: added.startMs + delayMs, endMs: added.endMs + delayMs })) return delayMs
--- a/packages/bendfall-router/src/ledger/BendfallRouterLedger.ts
+++ b/packages/bendfall-router/src/ledger/BendfallRouterLedger.ts
@@ -45,7 +45,7 @@
     booking.confirm = { askedAtMs: event.atMs, untilMs: event.atMs + event.maxWaitMs }
     effects.push({ type: 'read_report' })
   },
-  memory_asked: (state, event, effects) => handleBookingRequest(state, event.ask, event.atMs, effects),
+  memory_asked: (state, event, effects) => handleBookingRequest(state, event.request, event.atMs, effects),
   released: (state, event) => { state.bookings.delete(event.bookingId) },
   report_failed: (state, _event, effects) => {
     state.isHealthy = false
--- a/packages/bendfall-router/src/ledger/BendfallRouterLedgerCrowd.ts
+++ b/packages/bendfall-router/src/ledger/BendfallRouterLedgerCrowd.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import type { LedgerState, MemoryAsk, Waiting } from './BendfallRouterLedgerState.js'
+import type { LedgerState, BookingRequest, PendingBooking } from './BendfallRouterLedgerState.js'
 
 /**
  * A replica is overloaded once requests that can meet their target have been waiting for it this
@@ -26,7 +26,7 @@
  * @param pending - booking request that waits
  * @returns the due time
  */
-export function dueAtMs ({ askedAtMs, targetMs }: Waiting): number {
+export function dueAtMs ({ askedAtMs, targetMs }: PendingBooking): number {
   return askedAtMs + targetMs
 }
 
@@ -37,7 +37,7 @@
  * @param nowMs - current time
  * @returns true for late requests
  */
-export function isLate (pending: Waiting, nowMs: number): boolean {
+export function isLate (pending: PendingBooking, nowMs: number): boolean {
   return dueAtMs(pending) < nowMs + pending.leadMs + LATE_MARGIN_MS
 }
 
@@ -49,10 +49,10 @@
  */
 export function updateOverload (state: LedgerState, nowMs: number): void {
   if (state.waiting.some((pending) => !isLate(pending, nowMs))) {
-    state.crowdedSinceMs ??= nowMs
+    state.overloadedSinceMs ??= nowMs
     state.lastWaitAtMs = nowMs
   } else if (nowMs - state.lastWaitAtMs > OVERLOAD_CLEAR_MS) {
-    state.crowdedSinceMs = undefined
+    state.overloadedSinceMs = undefined
   }
 }
 
@@ -63,8 +63,8 @@
  * @param nowMs - current time
  * @returns true while the replica is overloaded and the mechanism is enabled
  */
-export function isOverloaded ({ crowdedSinceMs, decisions }: LedgerState, nowMs: number): boolean {
-  return decisions.crowd === 'refuse_late' && crowdedSinceMs !== undefined && nowMs - crowdedSinceMs > OVERLOAD_THRESHOLD_MS
+export function isOverloaded ({ overloadedSinceMs, decisions }: LedgerState, nowMs: number): boolean {
+  return decisions.crowd === 'refuse_late' && overloadedSinceMs !== undefined && nowMs - overloadedSinceMs > OVERLOAD_THRESHOLD_MS
 }
 
 /**
@@ -76,9 +76,9 @@
  * @param nowMs - current time
  * @returns milliseconds
  */
-export function maxDelayMs (state: LedgerState, request: MemoryAsk, nowMs: number): number {
+export function maxDelayMs (state: LedgerState, request: BookingRequest, nowMs: number): number {
   const maxOnTimeDelayMs = request.targetMs - request.leadMs - LATE_MARGIN_MS
-  if (maxOnTimeDelayMs > 0 && state.crowdedSinceMs !== undefined) state.lastWaitAtMs = nowMs
+  if (maxOnTimeDelayMs > 0 && state.overloadedSinceMs !== undefined) state.lastWaitAtMs = nowMs
   return isOverloaded(state, nowMs) ? Math.min(request.maxWaitMs, maxOnTimeDelayMs) : request.maxWaitMs
 }
 
@@ -91,7 +91,7 @@
  * @param nowMs - current time
  * @returns milliseconds
  */
-export function retryAfterMs ({ crowdedSinceMs }: LedgerState, delayMs: number, nowMs: number): number {
-  const overloadedMs = crowdedSinceMs === undefined ? 0 : nowMs - crowdedSinceMs
+export function retryAfterMs ({ overloadedSinceMs }: LedgerState, delayMs: number, nowMs: number): number {
+  const overloadedMs = overloadedSinceMs === undefined ? 0 : nowMs - overloadedSinceMs
   return Math.max(delayMs, 2 * overloadedMs)
 }
--- a/packages/bendfall-router/src/ledger/BendfallRouterLedgerMemory.ts
+++ b/packages/bendfall-router/src/ledger/BendfallRouterLedgerMemory.ts
@@ -4,8 +4,8 @@
  * @module
  */
 import type { Allocation, Forecast } from './BendfallRouterForecast.js'
-import type { Booking, LedgerState, MemoryAsk, ReportedRun } from './BendfallRouterLedgerState.js'
-import { expectOutput } from './BendfallRouterOutputModel.js'
+import type { Booking, LedgerState, BookingRequest, ReportedRun } from './BendfallRouterLedgerState.js'
+import { predictOutput } from './BendfallRouterOutputModel.js'
 
 /** Duration of the growth of running requests for which memory is kept free. Of a dozen outputs of three seconds each, one ends within it. */
 const GROWTH_HEADROOM_MS = 400
@@ -46,7 +46,7 @@
  */
 export function forecastWithPending (state: LedgerState, nowMs: number): Forecast {
   const forecast = forecastOf(state, nowMs)
-  return { ...forecast, occupants: [...forecast.occupants, ...state.waiting.map((pending) => toAllocation(state, pending, nowMs))] }
+  return { ...forecast, allocations: [...forecast.allocations, ...state.waiting.map((pending) => toAllocation(state, pending, nowMs))] }
 }
 
 /**
@@ -64,7 +64,7 @@
   const granted = bookings
     .filter(({ requestId }) => !state.lastRuns.has(requestId))
     .map((booking) => toAllocation(state, booking, Math.max(nowMs - booking.leadMs, booking.grantedAtMs)))
-  return { nowMs, capacityTokens, occupants: [...runs, ...granted] }
+  return { nowMs, capacityTokens, allocations: [...runs, ...granted] }
 }
 
 function runAllocation (state: LedgerState, run: ReportedRun, booking: Booking | undefined): Allocation {
@@ -83,7 +83,7 @@
  * @param fromMs - when its prompt starts to be prefilled
  * @returns its memory over time
  */
-export function toAllocation (state: LedgerState, request: MemoryAsk, fromMs: number): Allocation {
+export function toAllocation (state: LedgerState, request: BookingRequest, fromMs: number): Allocation {
   const startMs = fromMs + request.leadMs
   const outputTokens = expectedOutputTokens(state, request, 0)
   return { startMs, endMs: startMs + outputTokens / state.tokensPerMs, startTokens: request.promptTokens, endTokens: request.promptTokens + outputTokens }
@@ -97,7 +97,7 @@
  * @param generatedTokens - output generated so far
  * @returns total output in tokens
  */
-export function expectedOutputTokens (state: LedgerState, request: MemoryAsk, generatedTokens: number): number {
+export function expectedOutputTokens (state: LedgerState, request: BookingRequest, generatedTokens: number): number {
   if (state.decisions.outputs === 'hinted') return Math.max(generatedTokens, Math.min(request.hintTokens, request.maxOutputTokens))
-  return expectOutput(state.output, request.hintTokens, request.maxOutputTokens, generatedTokens)
+  return predictOutput(state.output, request.hintTokens, request.maxOutputTokens, generatedTokens)
 }
--- a/packages/bendfall-router/src/ledger/BendfallRouterLedgerQueue.ts
+++ b/packages/bendfall-router/src/ledger/BendfallRouterLedgerQueue.ts
@@ -9,7 +9,7 @@
 import { forecastOf, forecastWithPending, freeTokens, toAllocation } from './BendfallRouterLedgerMemory.js'
 import { isReportStale } from './BendfallRouterLedgerReport.js'
 import { canPrefill, hasSlot, isPrefill, slotDelayMs } from './BendfallRouterLedgerSlots.js'
-import type { LedgerEffect, LedgerState, MemoryAsk, Waiting } from './BendfallRouterLedgerState.js'
+import type { LedgerEffect, LedgerState, BookingRequest, PendingBooking } from './BendfallRouterLedgerState.js'
 
 /** How long a slot at a prefill replica is held for a request that books its decode memory: one call between instances and a margin. */
 const SLOT_HOLD_MS = 60
@@ -22,7 +22,7 @@
  * @param nowMs - current time
  * @param effects - receives the responses
  */
-export function handleBookingRequest (state: LedgerState, request: MemoryAsk, nowMs: number, effects: LedgerEffect[]): void {
+export function handleBookingRequest (state: LedgerState, request: BookingRequest, nowMs: number, effects: LedgerEffect[]): void {
   const existing = state.bookings.get(request.bookingId)
   if (existing !== undefined) {
     state.bookings.set(request.bookingId, { ...existing, grantedAtMs: nowMs, slotUntilMs: undefined })
@@ -69,7 +69,7 @@
  * @param effects - receives the responses
  */
 export function grantPendingBookings (state: LedgerState, nowMs: number, effects: LedgerEffect[]): void {
-  const remaining: Waiting[] = []
+  const remaining: PendingBooking[] = []
   const isStale = state.report !== undefined && isReportStale(state.lastReportAtMs, nowMs)
   if (isStale && state.waiting.length > 0) effects.push({ type: 'read_report' })
   for (const pending of sortPendingBookings(state, nowMs)) {
@@ -82,26 +82,26 @@
   updateOverload(state, nowMs)
 }
 
-function sortPendingBookings ({ decisions, waiting }: LedgerState, nowMs: number): Waiting[] {
-  const lateRank = (pending: Waiting): number => decisions.late === 'behind' && isLate(pending, nowMs) ? 1 : 0
-  const orderMs = decisions.queueOrder === 'due_first' ? dueAtMs : ({ askedAtMs }: Waiting) => askedAtMs
+function sortPendingBookings ({ decisions, waiting }: LedgerState, nowMs: number): PendingBooking[] {
+  const lateRank = (pending: PendingBooking): number => decisions.late === 'behind' && isLate(pending, nowMs) ? 1 : 0
+  const orderMs = decisions.queueOrder === 'due_first' ? dueAtMs : ({ askedAtMs }: PendingBooking) => askedAtMs
   return [...waiting].sort((a, b) => a.priority - b.priority || lateRank(a) - lateRank(b) || orderMs(a) - orderMs(b))
 }
 
-function mustRefuse (state: LedgerState, pending: Waiting, nowMs: number): boolean {
+function mustRefuse (state: LedgerState, pending: PendingBooking, nowMs: number): boolean {
   return nowMs >= pending.askedAtMs + pending.maxWaitMs || (isOverloaded(state, nowMs) && isLate(pending, nowMs))
 }
 
-function grant (state: LedgerState, pending: Waiting, nowMs: number, effects: LedgerEffect[], slotUntilMs: number | undefined): void {
+function grant (state: LedgerState, pending: PendingBooking, nowMs: number, effects: LedgerEffect[], slotUntilMs: number | undefined): void {
   state.bookings.set(pending.bookingId, { ...pending, grantedAtMs: nowMs, slotUntilMs })
   effects.push({ type: 'answer', bookingId: pending.bookingId, isGranted: true, retryAfterMs: 0 })
 }
 
-function refuse (state: LedgerState, { bookingId }: MemoryAsk, delayMs: number, nowMs: number, effects: LedgerEffect[]): void {
+function refuse (state: LedgerState, { bookingId }: BookingRequest, delayMs: number, nowMs: number, effects: LedgerEffect[]): void {
   effects.push({ type: 'answer', bookingId, isGranted: false, retryAfterMs: retryAfterMs(state, delayMs, nowMs) })
 }
 
-function hasCapacity (state: LedgerState, pending: Waiting, nowMs: number): boolean {
+function hasCapacity (state: LedgerState, pending: PendingBooking, nowMs: number): boolean {
   if (isPrefill(state)) return hasSlot(state, pending)
   if (pending.readsInPlace && !canPrefill(state, pending)) return false
   if (freeTokens(state, nowMs) < pending.promptTokens) return false
--- a/packages/bendfall-router/src/ledger/BendfallRouterLedgerSlots.ts
+++ b/packages/bendfall-router/src/ledger/BendfallRouterLedgerSlots.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import type { LedgerState, MemoryAsk, Waiting } from './BendfallRouterLedgerState.js'
+import type { LedgerState, BookingRequest, PendingBooking } from './BendfallRouterLedgerState.js'
 import { isLate } from './BendfallRouterLedgerCrowd.js'
 
 /**
@@ -41,7 +41,7 @@
  * @param request - booking request of the prompt
  * @returns true if the prompt fits the limit, or nothing else is booked
  */
-export function hasSlot (state: LedgerState, { promptTokens }: MemoryAsk): boolean {
+export function hasSlot (state: LedgerState, { promptTokens }: BookingRequest): boolean {
   return state.bookings.size === 0 || bookedTokens(state) + promptTokens <= MAX_PREFILL_SLOT_TOKENS
 }
 
@@ -74,7 +74,7 @@
  * @param request - booking request of the prompt
  * @returns true if it prefills no other prompt, or both are short
  */
-export function canPrefill (state: LedgerState, { promptTokens }: MemoryAsk): boolean {
+export function canPrefill (state: LedgerState, { promptTokens }: BookingRequest): boolean {
   const activeTokens = prefillingTokens(state)
   return activeTokens === 0 || activeTokens + promptTokens <= MAX_IN_PLACE_TOKENS
 }
@@ -95,6 +95,6 @@
 }
 
 // Late requests wait behind a new one and don't count.
-function aheadTokens (waiting: readonly Waiting[], nowMs: number): number {
+function aheadTokens (waiting: readonly PendingBooking[], nowMs: number): number {
   return waiting.reduce((sum, pending) => isLate(pending, nowMs) ? sum : sum + pending.promptTokens, 0)
 }
--- a/packages/bendfall-router/src/ledger/BendfallRouterLedgerState.ts
+++ b/packages/bendfall-router/src/ledger/BendfallRouterLedgerState.ts
@@ -33,7 +33,7 @@
 }
 
 /** Request of an entry to book memory. */
-export interface MemoryAsk {
+export interface BookingRequest {
   readonly bookingId: string
   readonly requestId: string
   readonly promptTokens: number
@@ -51,12 +51,12 @@
 }
 
 /** A booking request that waits for memory. */
-export interface Waiting extends MemoryAsk {
+export interface PendingBooking extends BookingRequest {
   readonly askedAtMs: number
 }
 
 /** A granted booking of memory. */
-export interface Booking extends MemoryAsk {
+export interface Booking extends BookingRequest {
   readonly grantedAtMs: number
   /** For a slot at a prefill replica: when it expires unless its prompt has been announced. */
   readonly slotUntilMs?: number
@@ -74,9 +74,9 @@
   report?: ReplicaReport
   isHealthy: boolean
   readonly bookings: Map<string, Booking>
-  waiting: Waiting[]
+  waiting: PendingBooking[]
   /** Since when requests that can meet their target have been waiting without a break; absent while none waits. */
-  crowdedSinceMs?: number
+  overloadedSinceMs?: number
   /** When a request that can meet its target last waited or was rejected. */
   lastWaitAtMs: number
   /** Model of output lengths, learned from runs that ended. */
@@ -92,7 +92,7 @@
   /** `askedAtMs` is when the report was requested; its content is not older. */
   | { readonly type: 'report_read', readonly report: ReplicaReport, readonly askedAtMs: number }
   | { readonly type: 'report_failed' }
-  | { readonly type: 'memory_asked', readonly ask: MemoryAsk }
+  | { readonly type: 'memory_asked', readonly request: BookingRequest }
   | { readonly type: 'ask_withdrawn', readonly bookingId: string }
   | { readonly type: 'confirm_asked', readonly bookingId: string, readonly maxWaitMs: number }
   | { readonly type: 'released', readonly bookingId: string }
--- a/packages/bendfall-router/src/ledger/BendfallRouterOutputModel.ts
+++ b/packages/bendfall-router/src/ledger/BendfallRouterOutputModel.ts
@@ -80,7 +80,7 @@
  * @param generatedTokens - output generated so far
  * @returns total output in tokens
  */
-export function expectOutput (model: OutputModel, hintTokens: number, maxTokens: number, generatedTokens: number): number {
+export function predictOutput (model: OutputModel, hintTokens: number, maxTokens: number, generatedTokens: number): number {
   const slope = model.crossProducts / model.hintSquares
   const median = Math.exp(model.meanOutput + slope * (Math.log(Math.max(1, hintTokens)) - model.meanHint))
   const expected = Math.max(median * MEAN_OVER_MEDIAN, generatedTokens * OVERRUN_FACTOR)
