--- a/packages/bendfall-router/src/limits/BendfallRouterPermitKeeper.ts
+++ b/packages/bendfall-router/src/limits/BendfallRouterPermitKeeper.ts
@@ -18,7 +18,7 @@
 export const SENT_BEFORE_MS = 1_000
 
 /** An entry's request for permits of a replica, with what it knows of the limit. */
-export interface PermitAsk {
+export interface PermitRequest {
   /** Name of the replica's process. */
   readonly processName: string
   /** Name of the requesting entry. */
@@ -62,7 +62,7 @@
 }
 
 /** State of the leader, kept for one term. */
-export interface PermitKeeper {
+export interface PermitLeaderState {
   /** When this process became leader; before that, another process may have leased permits. */
   readonly sinceMs: number
   readonly limits: Map<string, LimitState>
@@ -127,7 +127,7 @@
  * @param sinceMs - when the process became leader
  * @returns the state
  */
-export function createPermitKeeper (sinceMs: number): PermitKeeper {
+export function createPermitLeaderState (sinceMs: number): PermitLeaderState {
   return { sinceMs, limits: new Map() }
 }
 
@@ -140,7 +140,7 @@
  * @param share - share of each limit that may be leased, from 0 to 1
  * @returns the leased permits and the current limit
  */
-export function leasePermits (state: PermitKeeper, request: PermitAsk, nowMs: number, share = 1): PermitOutcome {
+export function leasePermits (state: PermitLeaderState, request: PermitRequest, nowMs: number, share = 1): PermitOutcome {
   const limit = limitOf(state, request, nowMs)
   updateLimit(limit, request, nowMs)
   recordEntry(limit, request.entry, nowMs)
@@ -159,7 +159,7 @@
  * @param state - state of the leader
  * @returns the limits
  */
-export function namedLimits ({ limits }: PermitKeeper): NamedLimit[] {
+export function namedLimits ({ limits }: PermitLeaderState): NamedLimit[] {
   return [...limits].flatMap(([processName, { perS }]) => perS === undefined ? [] : [{ processName, perS }])
 }
 
@@ -169,7 +169,7 @@
   const maxWaitMs = Math.max(MAX_WAIT_MS, MS_PER_SECOND / bounds.unitsPerS)
   // Entries that were given a later time request again sooner than that, so that reservations beyond
   // the maximum must not delay others.
-  bucket.returnsUntilMs = Math.min(bucket.returnsUntilMs, nowMs + maxWaitMs)
+  bucket.latestRetryAtMs = Math.min(bucket.latestRetryAtMs, nowMs + maxWaitMs)
   if (first.type === 'refused') return { permits: 0, nextInMs: Math.min(first.retryAfterMs, maxWaitMs) }
   const maxPermits = Math.max(1, Math.ceil(bounds.unitsPerS * LEASE_BATCH_S))
   const additional = Math.min(wanted - 1, maxPermits - 1, Math.floor(bucket.units))
@@ -181,7 +181,7 @@
   return { unitsPerS: Math.max(MIN_PER_S, perS), burstUnits: BURST_PERMITS + perS * BURST_S }
 }
 
-function limitOf ({ limits, sinceMs }: PermitKeeper, { processName }: PermitAsk, nowMs: number): LimitState {
+function limitOf ({ limits, sinceMs }: PermitLeaderState, { processName }: PermitRequest, nowMs: number): LimitState {
   const existing = limits.get(processName)
   // Reinserts the limit, so that those without recent requests come first.
   limits.delete(processName)
@@ -211,7 +211,7 @@
 
 // The latest notice counts, whichever entry received it. One that loosens the limit counts only if its
 // request was sent after the last notice arrived, since responses can overtake each other.
-function updateLimit (limit: LimitState, { heardAgoMs, perS, sentAgoMs }: PermitAsk, nowMs: number): void {
+function updateLimit (limit: LimitState, { heardAgoMs, perS, sentAgoMs }: PermitRequest, nowMs: number): void {
   const heardAtMs = nowMs - heardAgoMs
   const isLooser = (perS ?? Infinity) > (limit.perS ?? Infinity)
   if (heardAtMs <= limit.heardAtMs || (isLooser && nowMs - sentAgoMs <= limit.heardAtMs)) return
--- a/packages/bendfall-router/src/limits/BendfallRouterReplicaLimits.ts
+++ b/packages/bendfall-router/src/limits/BendfallRouterReplicaLimits.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import type { NamedLimit, PermitAsk, PermitOutcome } from './BendfallRouterPermitKeeper.js'
+import type { NamedLimit, PermitRequest, PermitOutcome } from './BendfallRouterPermitKeeper.js'
 import { PERMIT_MS } from './BendfallRouterPermitKeeper.js'
 
 /** The limit on the requests of all entries together in a response head. */
@@ -32,7 +32,7 @@
   isAsking: boolean
   askedAtMs: number
   /** Time before which the leader has no permit for this entry. */
-  nextAskAtMs: number
+  nextRequestAtMs: number
   /** Sends made or wanted since the last permit request. */
   wanted: number
   wantedSinceMs: number
@@ -75,7 +75,7 @@
  * @param nowMs - current time
  * @returns what it changed
  */
-export function takeLimitNotice (limits: ReplicaLimits, processName: string, notice: LimitNotice, sentAtMs: number, nowMs: number): LimitChange {
+export function applyLimitNotice (limits: ReplicaLimits, processName: string, notice: LimitNotice, sentAtMs: number, nowMs: number): LimitChange {
   const known = limits.get(processName)
   if (notice.type === 'unreadable') return 'nothing'
   if (notice.type === 'none') {
@@ -105,7 +105,7 @@
 }
 
 function addLimit (limits: ReplicaLimits, learned: Pick<ReplicaLimit, 'processName' | 'perS' | 'heardAtMs' | 'sentAtMs'>, nowMs: number): void {
-  limits.set(learned.processName, { ...learned, permits: 0, lapseAtMs: -Infinity, returned: 0, sentBefore: 0, isAsking: false, askedAtMs: -Infinity, nextAskAtMs: -Infinity, wanted: 0, wantedSinceMs: nowMs, entries: 1 })
+  limits.set(learned.processName, { ...learned, permits: 0, lapseAtMs: -Infinity, returned: 0, sentBefore: 0, isAsking: false, askedAtMs: -Infinity, nextRequestAtMs: -Infinity, wanted: 0, wantedSinceMs: nowMs, entries: 1 })
   const [oldest] = limits.keys()
   if (limits.size > MAX_LIMITS && oldest !== undefined) limits.delete(oldest)
 }
@@ -148,7 +148,7 @@
  * @param nowMs - current time
  * @returns the permit request
  */
-export function createAsk (limit: ReplicaLimit, entry: string, nowMs: number): PermitAsk {
+export function createPermitRequest (limit: ReplicaLimit, entry: string, nowMs: number): PermitRequest {
   const { heardAtMs, perS, processName, sentAtMs, sentBefore } = limit
   if (nowMs >= limit.lapseAtMs) dropPermits(limit)
   const demand = limit.wanted * REQUEST_AHEAD_MS / Math.max(MIN_MEASURED_MS, nowMs - limit.wantedSinceMs)
@@ -166,7 +166,7 @@
  * @param sentAgoMs - time since the request was sent whose response carried no limit
  * @returns the request, for no permits
  */
-export function createLiftedAsk (processName: string, entry: string, sentAgoMs: number): PermitAsk {
+export function createLimitLiftedRequest (processName: string, entry: string, sentAgoMs: number): PermitRequest {
   return { processName, entry, heardAgoMs: 0, sentAgoMs, wanted: 0, returned: 0, sentBefore: 0 }
 }
 
@@ -190,12 +190,12 @@
  * @param nowMs - current time
  * @returns what it changed
  */
-export function takePermits (limits: ReplicaLimits, limit: ReplicaLimit, request: PermitAsk, outcome: PermitOutcome, nowMs: number): LimitChange {
+export function applyPermitOutcome (limits: ReplicaLimits, limit: ReplicaLimit, request: PermitRequest, outcome: PermitOutcome, nowMs: number): LimitChange {
   limit.isAsking = false
   if (outcome.type === 'unreachable') {
     // The leader may have processed the request: permits returned twice would be leased beyond the limit.
     limit.sentBefore += request.sentBefore
-    limit.nextAskAtMs = nowMs + UNREACHABLE_RETRY_MS
+    limit.nextRequestAtMs = nowMs + UNREACHABLE_RETRY_MS
     return 'nothing'
   }
   const heardAtMs = nowMs - outcome.heardAgoMs
@@ -207,7 +207,7 @@
   dropPermits(limit)
   limit.permits = outcome.permits
   limit.lapseAtMs = limit.askedAtMs + PERMIT_MS
-  limit.nextAskAtMs = nowMs + outcome.nextInMs
+  limit.nextRequestAtMs = nowMs + outcome.nextInMs
   limit.entries = outcome.entries
   const isNewer = heardAtMs > limit.heardAtMs
   const change = isNewer && outcome.perS !== limit.perS ? 'changed' : 'nothing'
@@ -221,7 +221,7 @@
  * @param limits - changed in place
  * @param nowMs - current time
  */
-export function forgetLimits (limits: ReplicaLimits, nowMs: number): void {
+export function dropStaleLimits (limits: ReplicaLimits, nowMs: number): void {
   for (const [name, { heardAtMs, isAsking }] of limits) {
     if (!isAsking && nowMs - heardAtMs >= LIMIT_TTL_MS) limits.delete(name)
   }
--- a/packages/bendfall-router/src/notices/BendfallRouterNotices.ts
+++ b/packages/bendfall-router/src/notices/BendfallRouterNotices.ts
@@ -45,7 +45,7 @@
  * @param nowMs - current time
  * @returns what it changed
  */
-export function takeNotice (notices: ReplicaNotices, processName: string, { backoffMs = 0, isLeaving }: ReplicaNotice, nowMs: number): NoticeChange {
+export function recordNotice (notices: ReplicaNotices, processName: string, { backoffMs = 0, isLeaving }: ReplicaNotice, nowMs: number): NoticeChange {
   if (!isLeaving && backoffMs <= 0) return 'nothing'
   const known = notices.get(processName) ?? { isLeaving: false, backoffUntilMs: -Infinity }
   const backoffUntilMs = Math.max(known.backoffUntilMs, nowMs + backoffMs)
@@ -64,7 +64,7 @@
  * @param processName - name of the replica's process
  * @returns true once it has
  */
-export function hasSaidLeaving (notices: ReplicaNotices, processName: string): boolean {
+export function isProcessLeaving (notices: ReplicaNotices, processName: string): boolean {
   return notices.get(processName)?.isLeaving === true
 }
 
--- a/packages/bendfall-upstream/src/BendfallUpstreamHttpEngine.ts
+++ b/packages/bendfall-upstream/src/BendfallUpstreamHttpEngine.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import type { EngineReport } from 'bendfall-core'
-import { createHttpExchanger, isFlag, isListOf, isNumber, isText, parseAnswer } from 'bendfall-platform'
+import { createHttpExchanger, isArrayOf, isBoolean, isNumber, isString, parseResponse } from 'bendfall-platform'
 import type { HttpExchanger, HttpFailure, HttpRequest, ShapesByType } from 'bendfall-platform'
 import type { AttemptRef, EngineDecodeOutcome, EngineImportOutcome, EngineOrderOutcome, EnginePort, EnginePrefillOutcome } from './BendfallUpstreamEngine.js'
 
@@ -16,18 +16,18 @@
 const ORDER_RETRY_AFTER_MS = 1_000
 const JSON_HEADERS = { 'content-type': 'application/json' }
 
-const FAILED = { detail: isText }
+const FAILED = { detail: isString }
 const PREFILL_SHAPES: ShapesByType = {
-  done: { handle: isText, exportUrl: isText, kvBytes: isNumber, cachedTokens: isNumber, evictsInMs: isNumber },
+  done: { handle: isString, exportUrl: isString, kvBytes: isNumber, cachedTokens: isNumber, evictsInMs: isNumber },
   failed: FAILED
 }
 const IMPORT_SHAPES: ShapesByType = {
   progress: { transferredBytes: isNumber },
   done: {},
-  failed: { ...FAILED, kvLost: isFlag }
+  failed: { ...FAILED, kvLost: isBoolean }
 }
 const DECODE_SHAPES: ShapesByType = {
-  tokens: { index: isNumber, tokens: isListOf(isText) },
+  tokens: { index: isNumber, tokens: isArrayOf(isString) },
   finished: { tokenCount: isNumber },
   failed: FAILED
 }
@@ -114,7 +114,7 @@
 async function sendRequest<T> (http: HttpExchanger, request: HttpRequest, shapes: ShapesByType, onFailure: (failure: HttpFailure) => T): Promise<T> {
   const response = await http.send(request)
   if (response.isErr()) return onFailure(response.error)
-  const outcome = parseAnswer<T & { readonly type: string }>(response.value.body, shapes)
+  const outcome = parseResponse<T & { readonly type: string }>(response.value.body, shapes)
   return outcome.isOk() ? outcome.value : onFailure(malformedResponse(`status ${response.value.status}, ${outcome.error}`))
 }
 
@@ -127,7 +127,7 @@
 async function streamLines<Line extends { readonly type: string }, T> (http: HttpExchanger, request: HttpRequest, shapes: ShapesByType, handlers: LineHandlers<Line, T>): Promise<T> {
   let last: T | undefined
   const end = await http.sendForLines(request, (text) => {
-    const line = parseAnswer<Line>(text, shapes)
+    const line = parseResponse<Line>(text, shapes)
     if (line.isErr()) throw new Error(line.error)
     last = handlers.onLine(line.value) ?? last
   })
--- a/packages/bendfall/src/BendfallPlatformMain.ts
+++ b/packages/bendfall/src/BendfallPlatformMain.ts
@@ -39,7 +39,7 @@
     const poolIntent = await loadPoolIntent(settings, logger)
     const entry = await startEntry({ settings, logger, metrics, dialect: PLATFORM_DIALECT, keyValue, poolIntent })
     return {
-      cutOpenResponses: entry.cutOpen,
+      cutOpenResponses: entry.cutOpenResponses,
       stop: async () => {
         await entry.stop()
         await keyValue.close()
--- a/packages/bendfallctl/src/BendfallctlCrashes.ts
+++ b/packages/bendfallctl/src/BendfallctlCrashes.ts
@@ -7,7 +7,7 @@
 import { digestJson } from 'bendfall-core'
 import { CRASH_PREFIX, CRASHES_CLEARED_KEY, decodeCrashReport } from 'bendfall-edge'
 import type { KeyValueEntry, KeyValuePort } from 'bendfall-platform'
-import { createCrashRecords, takeReport } from 'bendfall-router'
+import { createCrashRecords, mergeCrashReport } from 'bendfall-router'
 import type { CrashRecords } from 'bendfall-router'
 import type { CommandResult } from './BendfallctlExit.js'
 import { formatTable } from './BendfallctlTable.js'
@@ -93,7 +93,7 @@
       unread.push(report.error)
       continue
     }
-    takeReport(records, report.value, false, 0)
+    mergeCrashReport(records, report.value, false, 0)
     for (const { fingerprint } of report.value.suspects) seenBy.set(fingerprint, [...seenBy.get(fingerprint) ?? [], key.slice(CRASH_PREFIX.length)])
   }
   const suspects = listSuspects(records, seenBy)
--- a/packages/bendfallctl/src/BendfallctlExplain.ts
+++ b/packages/bendfallctl/src/BendfallctlExplain.ts
@@ -7,9 +7,9 @@
 import { createReadStream } from 'node:fs'
 import { createInterface } from 'node:readline'
 import type { CommandResult } from './BendfallctlExit.js'
-import { createLossRecorder, LOSS_COLUMNS } from './BendfallctlExplainLosses.js'
-import type { LateCause, SecondOfLosses } from './BendfallctlExplainLosses.js'
-import { readLogLine } from './BendfallctlLogLine.js'
+import { createOutcomeRecorder, OUTCOME_COLUMNS } from './BendfallctlExplainLosses.js'
+import type { LateCause, OutcomesOfSecond } from './BendfallctlExplainLosses.js'
+import { parseLogLine } from './BendfallctlLogLine.js'
 import type { LogLine } from './BendfallctlLogLine.js'
 
 /** Maximum number of unfinished requests to track. Beyond it the oldest are dropped, so that a log of any size can be read. */
@@ -70,12 +70,12 @@
 export async function explainFailures (files: readonly string[]): Promise<CommandResult> {
   const lastFailures = new Map<string, string>()
   const causes = new Map<string, string[]>()
-  const recorder = createLossRecorder()
+  const recorder = createOutcomeRecorder()
   const outcome = await readFiles(files, (line) => {
     recordLine(line, lastFailures, causes)
     const requestId = requestIdOf(line)
     // Sidecars log the same request concurrently with its entry. Only the entry's lines, which have the field `request`, are steps.
-    if (requestId !== undefined && line.fields.has('request')) recorder.take(requestId, line)
+    if (requestId !== undefined && line.fields.has('request')) recorder.record(requestId, line)
   })
   const rows = [...causes].map(([cause, ids]): FailureCause => ({ cause, count: ids.length, requestIds: ids.slice(0, MAX_SHOWN_IDS) })).sort((a, b) => b.count - a.count)
   const text = rows.map(({ cause, count, requestIds }) => `${String(count).padStart(6)}  ${cause}  ${requestIds.join(' ')}`)
@@ -89,10 +89,10 @@
   return late.map(({ cause, count, meanMs }) => `${String(count).padStart(6)}  late, longest wait before ${cause}, ${meanMs} ms on average`)
 }
 
-function describeSeconds (seconds: readonly SecondOfLosses[]): string[] {
+function describeSeconds (seconds: readonly OutcomesOfSecond[]): string[] {
   if (seconds.length === 0) return []
-  const head = ['second', ...LOSS_COLUMNS].map((name) => name.padStart(9)).join(' ')
-  return ['', head, ...seconds.map((row) => [row.second, ...LOSS_COLUMNS.map((name) => row[name])].map((value) => String(value).padStart(9)).join(' '))]
+  const head = ['second', ...OUTCOME_COLUMNS].map((name) => name.padStart(9)).join(' ')
+  return ['', head, ...seconds.map((row) => [row.second, ...OUTCOME_COLUMNS.map((name) => row[name])].map((value) => String(value).padStart(9)).join(' '))]
 }
 
 function recordLine (line: LogLine, lastFailures: Map<string, string>, causes: Map<string, string[]>): void {
@@ -138,7 +138,7 @@
   for (const file of files) {
     try {
       for await (const text of createInterface({ input: createReadStream(file), crlfDelay: Infinity })) {
-        const line = readLogLine(text)
+        const line = parseLogLine(text)
         if (line !== undefined) onLine(line)
         else if (text.trim() !== '') unreadLines += 1
       }
--- a/packages/bendfallctl/src/BendfallctlExplainLosses.ts
+++ b/packages/bendfallctl/src/BendfallctlExplainLosses.ts
@@ -15,12 +15,12 @@
 const MS_PER_SECOND = 1_000
 
 /** Outcomes of a request, in the order of the table columns; `late` is a complete response that missed its target time. */
-export const LOSS_COLUMNS = ['answered', 'late', 'refused', 'cut', 'cancelled'] as const
+export const OUTCOME_COLUMNS = ['answered', 'late', 'refused', 'cut', 'cancelled'] as const
 
-type OutcomeColumn = (typeof LOSS_COLUMNS)[number]
+type OutcomeColumn = (typeof OUTCOME_COLUMNS)[number]
 
 /** Number of requests for each outcome that ended in one second. */
-export type SecondOfLosses = { readonly second: number } & Readonly<Record<OutcomeColumn, number>>
+export type OutcomesOfSecond = { readonly second: number } & Readonly<Record<OutcomeColumn, number>>
 
 /** Late responses with the same cause. */
 export interface LateCause {
@@ -32,13 +32,13 @@
 }
 
 /** Aggregates outcomes from log lines. */
-export interface LossRecorder {
+export interface OutcomeRecorder {
   /** Processes the next log line of a request. */
-  readonly take: (requestId: string, line: LogLine) => void
+  readonly record: (requestId: string, line: LogLine) => void
   /** @returns causes of late responses, most frequent first */
   readonly late: () => LateCause[]
   /** @returns outcomes by second, counted from the first terminal event; seconds without one are omitted */
-  readonly seconds: () => SecondOfLosses[]
+  readonly seconds: () => OutcomesOfSecond[]
 }
 
 interface OpenRequest {
@@ -55,7 +55,7 @@
  *
  * @returns a recorder without any lines
  */
-export function createLossRecorder (): LossRecorder {
+export function createOutcomeRecorder (): OutcomeRecorder {
   const open = new Map<string, OpenRequest>()
   const seconds = new Map<number, Record<OutcomeColumn, number>>()
   const late = new Map<string, { count: number, sumMs: number }>()
@@ -91,7 +91,7 @@
   }
 
   return {
-    take: (requestId, line) => {
+    record: (requestId, line) => {
       const request = updateOpenRequest(requestId, line)
       if (!END_EVENTS.has(line.event)) return
       const isLate = line.event === 'answered' && line.fields.get('isLate') === 'true'
--- a/packages/bendfallctl/src/BendfallctlLogLine.ts
+++ b/packages/bendfallctl/src/BendfallctlLogLine.ts
@@ -28,7 +28,7 @@
  * @param text - the line without its line feed
  * @returns the parsed line, or undefined if it is not from bendfall or is truncated
  */
-export function readLogLine (text: string): LogLine | undefined {
+export function parseLogLine (text: string): LogLine | undefined {
   const start = LINE_START.exec(text)?.[1]
   const pairs = start === undefined ? undefined : parsePairs(start)
   const timeMs = Date.parse(pairs?.get('time') ?? '')
--- a/packages/bendfallctl/src/BendfallctlOutput.ts
+++ b/packages/bendfallctl/src/BendfallctlOutput.ts
@@ -17,7 +17,7 @@
  *
  * @param step - description of the step that ended
  */
-export function noteStep (step: string): void {
+export function logStep (step: string): void {
   log.debug(`${step} after ${Math.round(process.uptime() * MS_PER_SECOND)} ms`)
 }
 
--- a/packages/bendfallctl/src/BendfallctlPeers.ts
+++ b/packages/bendfallctl/src/BendfallctlPeers.ts
@@ -51,7 +51,7 @@
  * @param callPeer - sends the request to one process
  * @returns the responses, in the order of the records; a process that fails or times out has none
  */
-export async function askProcesses<T> (records: readonly InstanceRecord[], callPeer: (call: PeerCall) => Promise<T>): Promise<ReadonlyArray<PeerAnswer<T>>> {
+export async function callProcesses<T> (records: readonly InstanceRecord[], callPeer: (call: PeerCall) => Promise<T>): Promise<ReadonlyArray<PeerAnswer<T>>> {
   const connections = createConnections(CONNECT_TIMEOUT_MS)
   const answers = await Promise.all(records.map(async (record): Promise<PeerAnswer<T>> => {
     const { peer } = connections.to(record.address)
--- a/packages/bendfallctl/src/BendfallctlPlanCommands.ts
+++ b/packages/bendfallctl/src/BendfallctlPlanCommands.ts
@@ -10,7 +10,7 @@
 import { describeConfirm } from './BendfallctlConfirmText.js'
 import type { CommandResult } from './BendfallctlExit.js'
 import { findingsResult, readIntent } from './BendfallctlIntentFile.js'
-import { noteStep, OUTPUT_ARGS, printResult } from './BendfallctlOutput.js'
+import { logStep, OUTPUT_ARGS, printResult } from './BendfallctlOutput.js'
 import type { PlanPorts, PlanRequest } from './BendfallctlPlan.js'
 import { runPlan } from './BendfallctlPlan.js'
 import type { TargetArgs } from './BendfallctlTarget.js'
@@ -58,10 +58,10 @@
 })
 
 async function withIntent (args: PlanArgs, run: PlanRunner): Promise<CommandResult> {
-  noteStep('started')
+  logStep('started')
   const intent = await readIntent(args.intent)
   const target = await openFullTarget(args)
-  noteStep('intent read')
+  logStep('intent read')
   if (intent.isErr() || target.isErr()) {
     if (target.isOk()) await target.value.close()
     return findingsResult([...(intent.isErr() ? intent.error : []), ...(target.isErr() ? target.error : [])])
@@ -69,9 +69,9 @@
   try {
     return await run(target.value, { intent: intent.value, weightStoreBytesPerSecond: parseRate(args[WEIGHT_STORE_RATE_ARG]) })
   } finally {
-    noteStep('services answered')
+    logStep('services answered')
     await target.value.close()
-    noteStep('connections closed')
+    logStep('connections closed')
   }
 }
 
--- a/packages/bendfallctl/src/BendfallctlProcesses.ts
+++ b/packages/bendfallctl/src/BendfallctlProcesses.ts
@@ -6,7 +6,7 @@
 import { formatTimeline, mergeTimelines } from 'bendfall-node'
 import type { InstanceListPort } from 'bendfall-platform'
 import type { CommandResult } from './BendfallctlExit.js'
-import { askProcesses, listInstances, silentInstances } from './BendfallctlPeers.js'
+import { callProcesses, listInstances, silentInstances } from './BendfallctlPeers.js'
 
 /**
  * Requests the graceful stop of one process. To keep an instance out of service
@@ -23,7 +23,7 @@
   if (records.length === 0) {
     return { exit: 'findings', text: `${instanceId} is not in the instance list`, json: { type: 'unknown_instance', instanceId } }
   }
-  const [{ answer }] = await askProcesses(records, ({ peer, sender, options }) => peer.drain({ sender }, options))
+  const [{ answer }] = await callProcesses(records, ({ peer, sender, options }) => peer.drain({ sender }, options))
   if (answer === undefined) return { exit: 'outage', text: `${instanceId} gave no answer`, json: { type: 'silent', instanceId } }
   return { exit: 'done', text: `${instanceId} drains and stops when its work has ended`, json: { type: 'draining', instanceId } }
 }
@@ -38,7 +38,7 @@
 export async function runTimeline (instances: InstanceListPort, subject: string): Promise<CommandResult> {
   const listed = await listInstances(instances)
   if (listed.isErr()) return listed.error
-  const answers = await askProcesses(listed.value, ({ peer, sender, options }) => peer.timeline({ sender, subject }, options))
+  const answers = await callProcesses(listed.value, ({ peer, sender, options }) => peer.timeline({ sender, subject }, options))
   const found = mergeTimelines(answers.flatMap(({ answer }) => answer?.events ?? []))
   const events = found.map(({ $typeName, $unknown, ...event }) => event)
   const silent = silentInstances(answers)
--- a/packages/bendfallctl/src/BendfallctlStatus.ts
+++ b/packages/bendfallctl/src/BendfallctlStatus.ts
@@ -8,7 +8,7 @@
 import type { StatusResponse } from 'bendfall-protocol'
 import type { CommandResult } from './BendfallctlExit.js'
 import type { PeerAnswer } from './BendfallctlPeers.js'
-import { askProcesses, listInstances, silentInstances } from './BendfallctlPeers.js'
+import { callProcesses, listInstances, silentInstances } from './BendfallctlPeers.js'
 import { readStoredConfig } from './BendfallctlPlan.js'
 import { formatBytes, formatTable } from './BendfallctlTable.js'
 
@@ -51,7 +51,7 @@
   const listed = await listInstances(instances)
   if (listed.isErr()) return listed.error
   const [answers, storedVersion] = await Promise.all([
-    askProcesses(listed.value, ({ peer, sender, options }) => peer.status({ sender }, options)),
+    callProcesses(listed.value, ({ peer, sender, options }) => peer.status({ sender }, options)),
     readStoredVersion(keyValue)
   ])
   const processes = answers.flatMap(toProcessStatus)
