--- a/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeAllotments.test.ts
+++ b/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeAllotments.test.ts
@@ -7,7 +7,7 @@
 import * as assert from 'uvu/assert'
 import { registerAllotments } from '../../allotments/BendfallEdgeAllotments.js'
 import { keyOfRole } from '../../allotments/BendfallEdgeAllotmentDocument.js'
-import { encodeLeaderEndpoint } from '../../peer/BendfallEdgeKeeperPlace.js'
+import { encodeLeaderEndpoint } from '../../peer/BendfallEdgeLeaderEndpoint.js'
 
 const SILENT = createLogger({ level: 'error', write: () => {} })
 const ASK = { role: 'primary', customer: 'acme', units: 200 } as const
--- a/packages/bendfall-edge/src/allotments/BendfallEdgeAllotmentAsks.ts
+++ b/packages/bendfall-edge/src/allotments/BendfallEdgeAllotmentClient.ts
@@ -8,8 +8,8 @@
 import type { Clock, Logger } from 'bendfall-node'
 import { AllotmentService } from 'bendfall-protocol'
 import type { AllotmentRole, UnitsOutcome } from 'bendfall-router'
-import type { LeaderClient } from '../peer/BendfallEdgeKeeperClient.js'
-import type { UnitsRequest } from './BendfallEdgeAllotmentDuty.js'
+import type { LeaderClient } from '../peer/BendfallEdgeLeaderClient.js'
+import type { UnitsRequest } from './BendfallEdgeAllotmentElections.js'
 
 /** Wait for the primary before the reserve is asked; requests with the tightest latency targets have to wait this long too. */
 const HEDGE_DELAY_MS = 80
--- a/packages/bendfall-edge/src/caller/BendfallEdgeServer.ts
+++ b/packages/bendfall-edge/src/caller/BendfallEdgeServer.ts
@@ -8,7 +8,7 @@
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import type { CallerLimits } from 'bendfall-router'
 import type { CallerDialect, CallerRequest } from '../BendfallEdgeDialect.js'
-import { registerRequestPipeline } from './BendfallEdgeCallerTurns.js'
+import { registerRequestPipeline } from './BendfallEdgeRequestPipeline.js'
 import { refuse } from './BendfallEdgeExchange.js'
 
 /** A caller's request whose body has been read completely. */
--- a/packages/bendfall-edge/src/ledger/BendfallEdgeLedgerClients.ts
+++ b/packages/bendfall-edge/src/ledger/BendfallEdgeLedgerClients.ts
@@ -10,7 +10,7 @@
 import type { ConfirmOutcome, Replica, ReserveOutcome, RouterEffect, RouterEffectOf, RouterEvent } from 'bendfall-router'
 import { CALL_SLACK_MS, toReplicaLoad, toReserveRequest, withTimeout } from './BendfallEdgeLedgerMessages.js'
 import { createLedgerSessions } from './BendfallEdgeLedgerSessions.js'
-import { registerLoadRequests } from './BendfallEdgeLoadAsks.js'
+import { registerLoadRequests } from './BendfallEdgeLoadRequests.js'
 
 /** Lead time of an announced prefill: if it is never reported as done, other entries see it for this long plus the grace time of the ledgers. */
 const ANNOUNCED_LEAD_MS = 500
--- a/packages/bendfall-edge/src/ledger/BendfallEdgeReportCalls.ts
+++ b/packages/bendfall-edge/src/ledger/BendfallEdgeReportCalls.ts
@@ -8,8 +8,8 @@
 import type { EngineReport, ReplicaDialect } from '../BendfallEdgeDialect.js'
 import { createConnectionPool } from '../replica/BendfallEdgeConnections.js'
 import type { ConnectionPool } from '../replica/BendfallEdgeConnections.js'
-import { startControlCall } from '../replica/BendfallEdgeOwnCall.js'
-import type { ControlCallOutcome } from '../replica/BendfallEdgeOwnCall.js'
+import { startControlCall } from '../replica/BendfallEdgeControlCall.js'
+import type { ControlCallOutcome } from '../replica/BendfallEdgeControlCall.js'
 
 /** Timeout of a report. */
 const REPORT_TIMEOUT_MS = 400
--- a/packages/bendfall-edge/src/limits/BendfallEdgePermits.ts
+++ b/packages/bendfall-edge/src/limits/BendfallEdgePermits.ts
@@ -10,10 +10,10 @@
 import { PermitService } from 'bendfall-protocol'
 import type { LeasePermitsResponse } from 'bendfall-protocol'
 import type { PermitRequest, PermitOutcome, RouterEffect, RouterEffectOf, RouterEvent } from 'bendfall-router'
-import { createLeaderClient } from '../peer/BendfallEdgeKeeperClient.js'
-import type { LeaderEndpoint } from '../peer/BendfallEdgeKeeperPlace.js'
+import { createLeaderClient } from '../peer/BendfallEdgeLeaderClient.js'
+import type { LeaderEndpoint } from '../peer/BendfallEdgeLeaderEndpoint.js'
 import { decodeLimits, LIMITS_KEY } from './BendfallEdgeLimitDocument.js'
-import { joinPermitElection, PERMITS_KEY } from './BendfallEdgePermitDuty.js'
+import { joinPermitElection, PERMITS_KEY } from './BendfallEdgePermitElection.js'
 
 /** Options of the permits. */
 export interface PermitOptions {
--- a/packages/bendfall-edge/src/peer/BendfallEdgeKeeperClient.ts
+++ b/packages/bendfall-edge/src/peer/BendfallEdgeLeaderClient.ts
@@ -7,8 +7,8 @@
 import type { AnsweringSessionManager, Clock, Logger } from 'bendfall-node'
 import type { KeyValueEntry } from 'bendfall-platform'
 import { withTimeout } from '../ledger/BendfallEdgeLedgerMessages.js'
-import { decodeLeaderEndpoint } from './BendfallEdgeKeeperPlace.js'
-import type { LeaderEndpoint } from './BendfallEdgeKeeperPlace.js'
+import { decodeLeaderEndpoint } from './BendfallEdgeLeaderEndpoint.js'
+import type { LeaderEndpoint } from './BendfallEdgeLeaderEndpoint.js'
 import { createPeerSession } from './BendfallEdgePeerSession.js'
 
 /** Default timeout of a call, and the time after which the leader counts as slow. */
--- a/packages/bendfall-edge/src/pools/BendfallEdgeHolderLease.ts
+++ b/packages/bendfall-edge/src/pools/BendfallEdgeLeaderElection.ts
@@ -12,7 +12,7 @@
 import type { Clock, Logger, Teardown } from 'bendfall-node'
 import { createSignal } from 'bendfall-node'
 import type { KeyValuePort } from 'bendfall-platform'
-import { watchPreviousLeaders } from './BendfallEdgeFormerHolders.js'
+import { watchPreviousLeaders } from './BendfallEdgePreviousLeaders.js'
 
 /** Options of an election. */
 export interface ElectionOptions {
--- a/packages/bendfall-edge/src/pools/BendfallEdgePools.ts
+++ b/packages/bendfall-edge/src/pools/BendfallEdgePools.ts
@@ -11,8 +11,8 @@
 import type { ReplicaDialect } from '../BendfallEdgeDialect.js'
 import type { ConnectionPool } from '../replica/BendfallEdgeConnections.js'
 import { dispatchControlNotice } from '../replica/BendfallEdgeNotices.js'
-import { startControlCall } from '../replica/BendfallEdgeOwnCall.js'
-import { joinElection } from './BendfallEdgeHolderLease.js'
+import { startControlCall } from '../replica/BendfallEdgeControlCall.js'
+import { joinElection } from './BendfallEdgeLeaderElection.js'
 
 /** Key held by the leader that orders stage changes. */
 const POOLS_KEY = 'bendfall/pools/holder'
--- a/packages/bendfall-edge/src/replica/BendfallEdgeHolds.ts
+++ b/packages/bendfall-edge/src/replica/BendfallEdgeHolds.ts
@@ -9,7 +9,7 @@
 import type { ReplicaDialect } from '../BendfallEdgeDialect.js'
 import type { ConnectionPool } from './BendfallEdgeConnections.js'
 import { dispatchControlNotice } from './BendfallEdgeNotices.js'
-import { startBestEffortCall, startControlCall } from './BendfallEdgeOwnCall.js'
+import { startBestEffortCall, startControlCall } from './BendfallEdgeControlCall.js'
 
 /** Dependencies of the effects. */
 export interface HoldOptions {
--- a/packages/bendfall-edge/src/replica/BendfallEdgePrefillListener.ts
+++ b/packages/bendfall-edge/src/replica/BendfallEdgePrefillListener.ts
@@ -6,7 +6,7 @@
 import type { PrefillOutcome } from 'bendfall-router'
 import type { ResponseHead, ReplicaDialect } from '../BendfallEdgeDialect.js'
 import { failureOf } from './BendfallEdgeCallFailure.js'
-import type { IdentifiedListener } from './BendfallEdgeAnswerIdentity.js'
+import type { IdentifiedListener } from './BendfallEdgeIdentifiedCall.js'
 
 /** Size limit of a prefill response. */
 const MAX_PREFILL_RESPONSE_BYTES = 65_536
--- a/packages/bendfall-edge/src/replica/BendfallEdgeRunListener.ts
+++ b/packages/bendfall-edge/src/replica/BendfallEdgeRunListener.ts
@@ -10,7 +10,7 @@
 import type { RouterEffect, RouterEffectOf, RouterEvent, SendFailure } from 'bendfall-router'
 import type { ResponseHead } from '../BendfallEdgeDialect.js'
 import type { Exchange, BufferedResponse } from '../caller/BendfallEdgeExchange.js'
-import type { IdentifiedListener } from './BendfallEdgeAnswerIdentity.js'
+import type { IdentifiedListener } from './BendfallEdgeIdentifiedCall.js'
 import { failureOf } from './BendfallEdgeCallFailure.js'
 import { createEventSplitter } from './BendfallEdgeEventSplitter.js'
 
--- a/packages/bendfall-platform/src/BendfallPlatformHttpKeyValue.ts
+++ b/packages/bendfall-platform/src/BendfallPlatformHttpKeyValue.ts
@@ -4,8 +4,8 @@
  *
  * @module
  */
-import { isArrayOf, isNumber, isObjectOf, isString, parseResponse } from './BendfallPlatformAnswer.js'
-import type { ShapesByType } from './BendfallPlatformAnswer.js'
+import { isArrayOf, isNumber, isObjectOf, isString, parseResponse } from './BendfallPlatformResponse.js'
+import type { ShapesByType } from './BendfallPlatformResponse.js'
 import { createHttpExchanger } from './BendfallPlatformHttp.js'
 import type { HttpExchanger, HttpRequest } from './BendfallPlatformHttp.js'
 import type { CompareAndSwap, KeyValuePort, LeaseOutcome, ListOutcome, ReadOutcome, WatchOutcome, WriteOutcome } from './BendfallPlatformKeyValue.js'
--- a/packages/bendfall-platform/src/__tests__/unit/BendfallPlatformAnswer.test.ts
+++ b/packages/bendfall-platform/src/__tests__/unit/BendfallPlatformResponse.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { isArrayOf, isNumber, isObjectOf, isString, parseResponse } from '../../BendfallPlatformAnswer.js'
+import { isArrayOf, isNumber, isObjectOf, isString, parseResponse } from '../../BendfallPlatformResponse.js'
 
 const SHAPES = { listed: { items: isArrayOf(isObjectOf({ name: isString, size: isNumber })) }, empty: {} }
 const read = (text: string): boolean => parseResponse(text, SHAPES).isOk()
--- a/packages/bendfall-platform/src/index.ts
+++ b/packages/bendfall-platform/src/index.ts
@@ -3,12 +3,12 @@
  *
  * @module
  */
-export { isArrayOf, isBoolean, isNumber, isObjectOf, isString, parseResponse } from './BendfallPlatformAnswer.js'
-export type { FieldCheck, Shape, ShapesByType } from './BendfallPlatformAnswer.js'
+export { isArrayOf, isBoolean, isNumber, isObjectOf, isString, parseResponse } from './BendfallPlatformResponse.js'
+export type { FieldCheck, Shape, ShapesByType } from './BendfallPlatformResponse.js'
 export { createHttpExchanger } from './BendfallPlatformHttp.js'
 export type { HttpExchanger, HttpFailure, HttpOptions, HttpRequest, HttpResponse } from './BendfallPlatformHttp.js'
-export { connectionEndOf, framingOf } from './BendfallPlatformHttpEnds.js'
-export type { ConnectionEnd, ResponseFraming } from './BendfallPlatformHttpEnds.js'
+export { connectionEndOf, framingOf } from './BendfallPlatformHttpFraming.js'
+export type { ConnectionEnd, ResponseFraming } from './BendfallPlatformHttpFraming.js'
 export { createHttpInstanceList } from './BendfallPlatformHttpInstances.js'
 export type { HttpInstanceListOptions } from './BendfallPlatformHttpInstances.js'
 export { createHttpKeyValue } from './BendfallPlatformHttpKeyValue.js'
--- a/packages/bendfall-router/src/entry/BendfallRouterAllotment.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterAllotment.ts
@@ -7,7 +7,7 @@
  *
  * @module
  */
-import type { AllotmentRole } from '../allotments/BendfallRouterAllotmentKeeper.js'
+import type { AllotmentRole } from '../allotments/BendfallRouterAllotmentLeader.js'
 import type { Allotment, Prompt } from '../BendfallRouterTypes.js'
 import type { NextStep, RouterContext } from './BendfallRouterContext.js'
 import { logDecision } from './BendfallRouterContext.js'
--- a/packages/bendfall-router/src/entry/BendfallRouterEffects.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterEffects.ts
@@ -4,8 +4,8 @@
  * @module
  */
 import type { CrashReport } from '../crashes/BendfallRouterCrashReport.js'
-import type { PermitRequest } from '../limits/BendfallRouterPermitKeeper.js'
-import type { AllotmentRole } from '../allotments/BendfallRouterAllotmentKeeper.js'
+import type { PermitRequest } from '../limits/BendfallRouterPermitLeader.js'
+import type { AllotmentRole } from '../allotments/BendfallRouterAllotmentLeader.js'
 import type { ReplicaStage } from '../BendfallRouterTypes.js'
 
 /** Why a request ended without a replica's response. */
--- a/packages/bendfall-router/src/entry/BendfallRouterEvents.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterEvents.ts
@@ -4,8 +4,8 @@
  * @module
  */
 import type { CrashReport } from '../crashes/BendfallRouterCrashReport.js'
-import type { AllotmentRole, UnitsOutcome } from '../allotments/BendfallRouterAllotmentKeeper.js'
-import type { NamedLimit, PermitRequest, PermitOutcome } from '../limits/BendfallRouterPermitKeeper.js'
+import type { AllotmentRole, UnitsOutcome } from '../allotments/BendfallRouterAllotmentLeader.js'
+import type { NamedLimit, PermitRequest, PermitOutcome } from '../limits/BendfallRouterPermitLeader.js'
 import type { ReplicaNotice } from '../notices/BendfallRouterNotices.js'
 import type { Prompt, Replica, ReplicaLoad, RouterConfig } from '../BendfallRouterTypes.js'
 
--- a/packages/bendfall-router/src/entry/BendfallRouterHold.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterHold.ts
@@ -7,7 +7,7 @@
  *
  * @module
  */
-import { recordFailure } from './BendfallRouterBelief.js'
+import { recordFailure } from './BendfallRouterReplicaHealth.js'
 import type { NextStep, RouterContext } from './BendfallRouterContext.js'
 import { logDecision } from './BendfallRouterContext.js'
 import { canCallForRelease } from './BendfallRouterPermits.js'
--- a/packages/bendfall-router/src/entry/BendfallRouterLoads.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterLoads.ts
@@ -6,7 +6,7 @@
  *
  * @module
  */
-import { usableReplicas } from './BendfallRouterBelief.js'
+import { usableReplicas } from './BendfallRouterReplicaHealth.js'
 import type { RouterContext } from './BendfallRouterContext.js'
 import { draw } from './BendfallRouterContext.js'
 import type { LoadStep, RequestState } from './BendfallRouterRequest.js'
--- a/packages/bendfall-router/src/entry/BendfallRouterMembers.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterMembers.ts
@@ -6,7 +6,7 @@
  */
 import { hashText, rendezvousScore } from 'bendfall-core'
 import type { Replica } from '../BendfallRouterTypes.js'
-import { createReplicaView } from './BendfallRouterBelief.js'
+import { createReplicaView } from './BendfallRouterReplicaHealth.js'
 import type { ReplicaView, RouterState } from './BendfallRouterState.js'
 
 /**
--- a/packages/bendfall-router/src/entry/BendfallRouterPermitWait.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterPermitWait.ts
@@ -7,7 +7,7 @@
  */
 import type { ReplicaStage } from '../BendfallRouterTypes.js'
 import type { ReplicaLimit } from '../limits/BendfallRouterReplicaLimits.js'
-import { usableReplicas } from './BendfallRouterBelief.js'
+import { usableReplicas } from './BendfallRouterReplicaHealth.js'
 import type { NextStep, RouterContext } from './BendfallRouterContext.js'
 import { draw, logDecision } from './BendfallRouterContext.js'
 import { requestPermits, limitedReplicas } from './BendfallRouterReplicaLimit.js'
--- a/packages/bendfall-router/src/entry/BendfallRouterPlain.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterPlain.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import { recordFailure, recordSuccess, usableReplicas } from './BendfallRouterBelief.js'
+import { recordFailure, recordSuccess, usableReplicas } from './BendfallRouterReplicaHealth.js'
 import type { NextStep, RouterContext } from './BendfallRouterContext.js'
 import { draw, logDecision, registrationsAgeMs, recordSent, remainingMs } from './BendfallRouterContext.js'
 import { recordConnectionLost } from './BendfallRouterCrashes.js'
--- a/packages/bendfall-router/src/entry/BendfallRouterPools.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterPools.ts
@@ -7,7 +7,7 @@
 import type { ReplicaLoad, ReplicaStage } from '../BendfallRouterTypes.js'
 import { balancePools, isIdle, refillPools } from '../pools/BendfallRouterPoolBalance.js'
 import type { PoolMember, StageChange } from '../pools/BendfallRouterPoolBalance.js'
-import { isLeaving, stageOf } from './BendfallRouterBelief.js'
+import { isLeaving, stageOf } from './BendfallRouterReplicaHealth.js'
 import { isAcceptingRequests } from './BendfallRouterNotice.js'
 import { tryUsePermit } from './BendfallRouterPermits.js'
 import type { PoolIntent } from '../pools/BendfallRouterPoolIntent.js'
--- a/packages/bendfall-router/src/entry/BendfallRouterPrefill.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterPrefill.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import { recordFailure, recordSuccess } from './BendfallRouterBelief.js'
+import { recordFailure, recordSuccess } from './BendfallRouterReplicaHealth.js'
 import type { NextStep, RouterContext } from './BendfallRouterContext.js'
 import { logDecision, registrationsAgeMs, remainingMs } from './BendfallRouterContext.js'
 import { recordConnectionLost } from './BendfallRouterCrashes.js'
@@ -14,7 +14,7 @@
 import { backlogTokensOf, planPrefill, PREFILL_OVERHEAD_MS } from './BendfallRouterPrefillPlan.js'
 import { hasNotRun, authorizeRetry } from './BendfallRouterRetry.js'
 import { reserveSends, recordPrefillProcessed, recordSendFailure, chargeSend, refuseOverBudget, sendPrefill } from './BendfallRouterSend.js'
-import { TICK_MS } from './BendfallRouterStandstill.js'
+import { TICK_MS } from './BendfallRouterPause.js'
 import type { RequestState } from './BendfallRouterRequest.js'
 import type { ReplicaView } from './BendfallRouterState.js'
 
--- a/packages/bendfall-router/src/entry/BendfallRouterRecentSends.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterRecentSends.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import { SENT_BEFORE_MS } from '../limits/BendfallRouterPermitKeeper.js'
+import { SENT_BEFORE_MS } from '../limits/BendfallRouterPermitLeader.js'
 
 /** Buckets of the sliding window. */
 const BUCKETS = 4
--- a/packages/bendfall-router/src/entry/BendfallRouterRegistrations.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterRegistrations.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import type { Replica } from '../BendfallRouterTypes.js'
-import { isLeaving } from './BendfallRouterBelief.js'
+import { isLeaving } from './BendfallRouterReplicaHealth.js'
 import type { RouterContext } from './BendfallRouterContext.js'
 import { recordProcessGone } from './BendfallRouterCrashes.js'
 import { isStaleRegistration, recordDeparted } from './BendfallRouterDeparted.js'
--- a/packages/bendfall-router/src/entry/BendfallRouterReplicaLimit.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterReplicaLimit.ts
@@ -6,11 +6,11 @@
  */
 import { formatProcessName, parseReplicaId } from '../crashes/BendfallRouterCrashRecords.js'
 import type { Replica, ReplicaStage } from '../BendfallRouterTypes.js'
-import type { PermitRequest } from '../limits/BendfallRouterPermitKeeper.js'
+import type { PermitRequest } from '../limits/BendfallRouterPermitLeader.js'
 import { addLearnedLimit, createPermitRequest, createLimitLiftedRequest, dropStaleLimits, applyLimitNotice, applyPermitOutcome } from '../limits/BendfallRouterReplicaLimits.js'
 import type { LimitChange, LimitNotice, ReplicaLimit } from '../limits/BendfallRouterReplicaLimits.js'
 import { backoffLeftMs } from '../notices/BendfallRouterNotices.js'
-import { isLeaving, stageOf } from './BendfallRouterBelief.js'
+import { isLeaving, stageOf } from './BendfallRouterReplicaHealth.js'
 import type { RouterContext } from './BendfallRouterContext.js'
 import type { RouterEventOf } from './BendfallRouterEvents.js'
 import { countRecentSends } from './BendfallRouterRecentSends.js'
--- a/packages/bendfall-router/src/entry/BendfallRouterRequest.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterRequest.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { AllotmentRole } from '../allotments/BendfallRouterAllotmentKeeper.js'
+import type { AllotmentRole } from '../allotments/BendfallRouterAllotmentLeader.js'
 import type { Customer, Prompt, Route } from '../BendfallRouterTypes.js'
 import type { ReplicaProcess } from '../crashes/BendfallRouterCrashRecords.js'
 import type { SendAccount } from './BendfallRouterSend.js'
--- a/packages/bendfall-router/src/entry/BendfallRouterReserve.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterReserve.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import type { Prompt } from '../BendfallRouterTypes.js'
-import { recordLedgerUnreachable } from './BendfallRouterBelief.js'
+import { recordLedgerUnreachable } from './BendfallRouterReplicaHealth.js'
 import type { NextStep, RouterContext } from './BendfallRouterContext.js'
 import { logDecision } from './BendfallRouterContext.js'
 import { releaseReservation } from './BendfallRouterEnd.js'
@@ -18,7 +18,7 @@
 import { planPrefill } from './BendfallRouterPrefillPlan.js'
 import { awaitPermit } from './BendfallRouterPermitWait.js'
 import { acquireRunPermit, tryUsePermit, requestMissingPermits } from './BendfallRouterPermits.js'
-import { canPrefillNow, FIRST_EVENT_MS, inPlacePrefillMs } from './BendfallRouterReading.js'
+import { canPrefillNow, FIRST_EVENT_MS, inPlacePrefillMs } from './BendfallRouterPrefillPlacement.js'
 import type { RequestState } from './BendfallRouterRequest.js'
 
 /** Number of replicas that may refuse memory before the request is refused. */
--- a/packages/bendfall-router/src/entry/BendfallRouterRun.ts
+++ b/packages/bendfall-router/src/entry/BendfallRouterRun.ts
@@ -4,13 +4,13 @@
  *
  * @module
  */
-import { recordFailure, recordSuccess } from './BendfallRouterBelief.js'
+import { recordFailure, recordSuccess } from './BendfallRouterReplicaHealth.js'
 import type { NextStep, RouterContext } from './BendfallRouterContext.js'
 import { recordConnectionLost } from './BendfallRouterCrashes.js'
 import { logDecision, registrationsAgeMs, recordSent, remainingMs } from './BendfallRouterContext.js'
 import { endAnswered, releaseHandle, releaseReservation, releaseRun } from './BendfallRouterEnd.js'
 import type { RouterEventOf, SendFailure } from './BendfallRouterEvents.js'
-import { inPlacePrefillMs } from './BendfallRouterReading.js'
+import { inPlacePrefillMs } from './BendfallRouterPrefillPlacement.js'
 import { recordRunOutcome } from './BendfallRouterRefusals.js'
 import { hasNotRun, mayRunAgain, authorizeRetry } from './BendfallRouterRetry.js'
 import { reserveSends, recordSendFailure, chargeSend, refuseOverBudget, sendRun } from './BendfallRouterSend.js'
--- a/packages/bendfall-router/src/ledger/BendfallRouterLedgerQueue.ts
+++ b/packages/bendfall-router/src/ledger/BendfallRouterLedgerQueue.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import { delayUntilFit, fits } from './BendfallRouterForecast.js'
-import { dueAtMs, isLate, isOverloaded, maxDelayMs, retryAfterMs, updateOverload } from './BendfallRouterLedgerCrowd.js'
+import { dueAtMs, isLate, isOverloaded, maxDelayMs, retryAfterMs, updateOverload } from './BendfallRouterLedgerOverload.js'
 import { forecastOf, forecastWithPending, freeTokens, toAllocation } from './BendfallRouterLedgerMemory.js'
 import { isReportStale } from './BendfallRouterLedgerReport.js'
 import { canPrefill, hasSlot, isPrefill, slotDelayMs } from './BendfallRouterLedgerSlots.js'
--- a/packages/bendfall-router/src/ledger/BendfallRouterLedgerSlots.ts
+++ b/packages/bendfall-router/src/ledger/BendfallRouterLedgerSlots.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import type { LedgerState, BookingRequest, PendingBooking } from './BendfallRouterLedgerState.js'
-import { isLate } from './BendfallRouterLedgerCrowd.js'
+import { isLate } from './BendfallRouterLedgerOverload.js'
 
 /**
  * Prompt tokens assigned to a prefill replica at a time: two and a half times the users' mean
--- a/packages/bendfall-router/src/limits/BendfallRouterReplicaLimits.ts
+++ b/packages/bendfall-router/src/limits/BendfallRouterReplicaLimits.ts
@@ -4,8 +4,8 @@
  *
  * @module
  */
-import type { NamedLimit, PermitRequest, PermitOutcome } from './BendfallRouterPermitKeeper.js'
-import { PERMIT_MS } from './BendfallRouterPermitKeeper.js'
+import type { NamedLimit, PermitRequest, PermitOutcome } from './BendfallRouterPermitLeader.js'
+import { PERMIT_MS } from './BendfallRouterPermitLeader.js'
 
 /** The limit on the requests of all entries together in a response head. */
 export type LimitNotice =
--- a/packages/bendfallctl/src/BendfallctlExplain.ts
+++ b/packages/bendfallctl/src/BendfallctlExplain.ts
@@ -7,8 +7,8 @@
 import { createReadStream } from 'node:fs'
 import { createInterface } from 'node:readline'
 import type { CommandResult } from './BendfallctlExit.js'
-import { createOutcomeRecorder, OUTCOME_COLUMNS } from './BendfallctlExplainLosses.js'
-import type { LateCause, OutcomesOfSecond } from './BendfallctlExplainLosses.js'
+import { createOutcomeRecorder, OUTCOME_COLUMNS } from './BendfallctlExplainOutcomes.js'
+import type { LateCause, OutcomesOfSecond } from './BendfallctlExplainOutcomes.js'
 import { parseLogLine } from './BendfallctlLogLine.js'
 import type { LogLine } from './BendfallctlLogLine.js'
 
