--- a/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeAllotmentAsks.test.ts
+++ b/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeAllotmentAsks.test.ts
@@ -8,87 +8,87 @@
 import { createVirtualClock } from './VirtualClock.js'
 import type { VirtualClock } from './VirtualClock.js'
 
-const ASK = { customer: 'acme', units: 200 }
-const REFUSES = { certain: true, granted: false, retryAfterMs: 500 }
-const GRANTS = { certain: true, granted: true, retryAfterMs: 0 }
-const DOUBTS = { certain: false, granted: false, retryAfterMs: 0 }
+const REQUEST = { customer: 'acme', units: 200 }
+const REFUSAL = { certain: true, granted: false, retryAfterMs: 500 }
+const GRANT = { certain: true, granted: true, retryAfterMs: 0 }
+const UNCERTAIN = { certain: false, granted: false, retryAfterMs: 0 }
 
-/** How a keeper answers, and after which time. */
-interface PlayedKeeper {
-  readonly answerMs: number
-  readonly answer: typeof GRANTS
+/** Answer of a simulated leader, and the time until it answers. */
+interface SimulatedLeader {
+  readonly responseMs: number
+  readonly answer: typeof GRANT
 }
 
-function createClient (clock: VirtualClock, keeper: PlayedKeeper | undefined): LeaderClient {
+function createLeaderClient (clock: VirtualClock, leader: SimulatedLeader | undefined): LeaderClient {
   return {
-    endpoint: () => keeper === undefined ? undefined : { instanceId: 'other', address: '127.0.0.1:1' },
+    endpoint: () => leader === undefined ? undefined : { instanceId: 'other', address: '127.0.0.1:1' },
     applyUpdate: () => false,
     request: async <T>(_call: unknown, { timeoutMs = 80 }: { readonly timeoutMs?: number } = {}): Promise<T | undefined> => {
-      if (keeper === undefined) return undefined
-      const isInTime = keeper.answerMs <= timeoutMs
-      await new Promise<void>((resolve) => { clock.callAt(clock.nowMs() + Math.min(keeper.answerMs, timeoutMs), resolve) })
-      return isInTime ? keeper.answer as T : undefined
+      if (leader === undefined) return undefined
+      const isInTime = leader.responseMs <= timeoutMs
+      await new Promise<void>((resolve) => { clock.callAt(clock.nowMs() + Math.min(leader.responseMs, timeoutMs), resolve) })
+      return isInTime ? leader.answer as T : undefined
     },
     notify: () => {},
     close: () => {}
   }
 }
 
-interface AskOutcome extends RoleOutcome {
-  readonly givenBack: number
+interface RequestOutcome extends RoleOutcome {
+  readonly giveBackCount: number
   readonly tookMs: number
 }
 
 const isUndecided = ({ type }: UnitsOutcome): boolean => type === 'unreachable' || type === 'uncertain'
 
-/** A request that asks the primary, and the reserve when the primary tells nothing. */
-async function askKeepers (primary: PlayedKeeper, reserve?: PlayedKeeper): Promise<AskOutcome> {
+/** Requests units from the primary, and from the reserve if the outcome at the primary is unknown. */
+async function requestUnits (primary: SimulatedLeader, reserve?: SimulatedLeader): Promise<RequestOutcome> {
   const clock = createVirtualClock()
-  let givenBack = 0
+  let giveBackCount = 0
   let tookMs = Infinity
-  const asks = createAllotmentClient({
+  const client = createAllotmentClient({
     clock,
     logger: createLogger({ level: 'error', write: () => {} }),
-    clients: { primary: createClient(clock, primary), reserve: createClient(clock, reserve) },
+    clients: { primary: createLeaderClient(clock, primary), reserve: createLeaderClient(clock, reserve) },
     takeLocally: () => undefined,
-    giveBack: () => { givenBack += 1 }
+    giveBack: () => { giveBackCount += 1 }
   })
-  const asked = (async () => {
-    const first = await asks.take('1', { ...ASK, role: 'primary' })
-    const last = reserve !== undefined && isUndecided(first.outcome) ? await asks.take('1', { ...ASK, role: 'reserve' }) : first
+  const request = (async () => {
+    const first = await client.take('1', { ...REQUEST, role: 'primary' })
+    const last = reserve !== undefined && isUndecided(first.outcome) ? await client.take('1', { ...REQUEST, role: 'reserve' }) : first
     tookMs = clock.nowMs()
     return last
   })()
   await clock.advance(2_000)
-  return { ...await asked, givenBack, tookMs }
+  return { ...await request, giveBackCount, tookMs }
 }
 
-test('a keeper that answers after 150 ms is waited for where no other can be asked', async () => {
-  assert.equal(await askKeepers({ answerMs: 150, answer: REFUSES }), { role: 'primary', outcome: { type: 'refused', retryAfterMs: 500 }, givenBack: 0, tookMs: 150 })
+test('without a reserve, a primary that answers after 150 ms is waited for', async () => {
+  assert.equal(await requestUnits({ responseMs: 150, answer: REFUSAL }), { role: 'primary', outcome: { type: 'refused', retryAfterMs: 500 }, giveBackCount: 0, tookMs: 150 })
 })
 
-test('the reserve is asked when the primary has not answered within 80 ms', async () => {
-  assert.equal(await askKeepers({ answerMs: 300, answer: GRANTS }, { answerMs: 5, answer: GRANTS }), { role: 'reserve', outcome: { type: 'granted' }, givenBack: 0, tookMs: 85 })
+test('the reserve is asked if the primary does not answer within 80 ms', async () => {
+  assert.equal(await requestUnits({ responseMs: 300, answer: GRANT }, { responseMs: 5, answer: GRANT }), { role: 'reserve', outcome: { type: 'granted' }, giveBackCount: 0, tookMs: 85 })
 })
 
-test('a late grant of the primary is used where the reserve can\'t tell', async () => {
-  assert.equal(await askKeepers({ answerMs: 150, answer: GRANTS }, { answerMs: 5, answer: DOUBTS }), { role: 'primary', outcome: { type: 'granted' }, givenBack: 0, tookMs: 150 })
+test('a late grant of the primary is used if the answer of the reserve is uncertain', async () => {
+  assert.equal(await requestUnits({ responseMs: 150, answer: GRANT }, { responseMs: 5, answer: UNCERTAIN }), { role: 'primary', outcome: { type: 'granted' }, giveBackCount: 0, tookMs: 150 })
 })
 
-test('a late refusal of the primary counts where the reserve can\'t tell', async () => {
-  assert.equal(await askKeepers({ answerMs: 150, answer: REFUSES }, { answerMs: 5, answer: DOUBTS }), { role: 'primary', outcome: { type: 'refused', retryAfterMs: 500 }, givenBack: 0, tookMs: 150 })
+test('a late refusal of the primary is used if the answer of the reserve is uncertain', async () => {
+  assert.equal(await requestUnits({ responseMs: 150, answer: REFUSAL }, { responseMs: 5, answer: UNCERTAIN }), { role: 'primary', outcome: { type: 'refused', retryAfterMs: 500 }, giveBackCount: 0, tookMs: 150 })
 })
 
-test('a late grant of the primary is given back where the reserve granted meanwhile', async () => {
-  assert.equal(await askKeepers({ answerMs: 150, answer: GRANTS }, { answerMs: 5, answer: GRANTS }), { role: 'reserve', outcome: { type: 'granted' }, givenBack: 1, tookMs: 85 })
+test('a late grant of the primary is given back if the reserve has granted units meanwhile', async () => {
+  assert.equal(await requestUnits({ responseMs: 150, answer: GRANT }, { responseMs: 5, answer: GRANT }), { role: 'reserve', outcome: { type: 'granted' }, giveBackCount: 1, tookMs: 85 })
 })
 
-test('what a primary without an answer may have granted is not given back', async () => {
-  assert.is((await askKeepers({ answerMs: 300, answer: GRANTS }, { answerMs: 5, answer: GRANTS })).givenBack, 0)
+test('units that a primary may have granted without answering are not given back', async () => {
+  assert.is((await requestUnits({ responseMs: 300, answer: GRANT }, { responseMs: 5, answer: GRANT })).giveBackCount, 0)
 })
 
-test('without an answer of either keeper nothing is told of the units', async () => {
-  const { outcome, role } = await askKeepers({ answerMs: 300, answer: GRANTS }, { answerMs: 300, answer: GRANTS })
+test('the outcome is unreachable if neither leader answers', async () => {
+  const { outcome, role } = await requestUnits({ responseMs: 300, answer: GRANT }, { responseMs: 300, answer: GRANT })
   assert.equal({ role, outcome }, { role: 'reserve', outcome: { type: 'unreachable' } })
 })
 
--- a/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeAnswerEnd.test.ts
+++ b/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeAnswerEnd.test.ts
@@ -1,10 +1,9 @@
-// Users saw a caller that got an answer which was not whole. Order of events: a replica
-// writes a part of an answer that has neither length nor chunks, its connection is reset,
-// and the loop of the entry, busy with others, finds the bytes and the reset in one poll.
-// Cause: after a short read a hang-up is reported as the end of the data and never as an
-// error, so the reset counted as an orderly end. Evidence: with the poll forced as below,
-// 20 of 20 cut answers were taken for whole; and while reading was paused for a slow caller
-// the end of the connection ended the process, which cut all other answers in order.
+// Guards against truncated responses that callers took for complete, as users observed: a replica writes part of a
+// close-delimited response and resets the connection, and the entry's busy event loop finds the
+// bytes and the reset in one poll. After a short read, a hang-up is reported as the end of the data
+// and never as an error, so the reset counted as an orderly close: with the poll forced as below,
+// 20 of 20 aborted responses counted as complete. Also, the end of a connection while reading was
+// paused for a slow caller terminated the process, which truncated all other responses with an orderly close.
 import { createServer } from 'node:net'
 import type { AddressInfo, Server, Socket } from 'node:net'
 import { setTimeout as sleep } from 'node:timers/promises'
@@ -28,18 +27,18 @@
 
 const BODY_BYTES = 200_000
 
-/** The end of a body in chunks; the other framings end with their bytes. */
+/** End of a chunked body; the other framings have no end marker. */
 const LAST_CHUNK = '\r\n0\r\n\r\n'
 
 const uncaught: unknown[] = []
 process.on('uncaughtException', (error) => uncaught.push(error))
 
-interface PlayOptions {
+interface CallOptions {
   readonly answer: (socket: Socket) => void
-  /** Pause after each chunk, like a caller that reads slowly. */
+  /** Pause after each chunk, as for a caller that reads slowly; absent: no pause. */
   readonly pauseMs?: number
-  /** The replica reads nothing: what it closes then is reset at once, without an orderly end before. */
-  readonly isDeaf?: boolean
+  /** Whether the replica reads nothing, so that closing its connection resets it without an orderly close. */
+  readonly isNotReading?: boolean
 }
 
 async function listen (server: Server): Promise<string> {
@@ -47,12 +46,12 @@
   return `127.0.0.1:${(server.address() as AddressInfo).port}`
 }
 
-async function play ({ answer, isDeaf = false, pauseMs }: PlayOptions): Promise<Outcome> {
+async function callReplica ({ answer, isNotReading = false, pauseMs }: CallOptions): Promise<Outcome> {
   const sockets = new Set<Socket>()
-  const server = createServer({ pauseOnConnect: isDeaf }, (socket) => {
+  const server = createServer({ pauseOnConnect: isNotReading }, (socket) => {
     sockets.add(socket)
     socket.on('error', () => {})
-    if (isDeaf) setTimeout(() => answer(socket), 20)
+    if (isNotReading) setTimeout(() => answer(socket), 20)
     else socket.once('data', () => answer(socket))
   })
   const pool = createConnectionPool(await listen(server), () => {})
@@ -71,7 +70,7 @@
         onFail: () => resolve({ type: 'fail', bodyBytes })
       })
     }),
-    sleep(3_000).then(() => { throw new Error('the call never ended') })
+    sleep(3_000).then(() => { throw new Error('the call did not end within 3 s') })
   ])
   pool.destroy()
   for (const socket of sockets) socket.destroy()
@@ -79,35 +78,35 @@
   return outcome
 }
 
-test('a reset that is found together with the last bytes is no end', async () => {
+test('a reset that is found together with the last bytes is not the end of a response', async () => {
   for (let i = 0; i < 20; i++) {
-    const outcome = await play({
-      isDeaf: true,
+    const outcome = await callReplica({
+      isNotReading: true,
       answer: (socket) => {
         socket.write(`${FRAMINGS.connection}part`)
         socket.destroy()
       }
     })
-    assert.is(outcome.type, 'fail', `answer ${i}`)
+    assert.is(outcome.type, 'fail', `response ${i}`)
   }
 })
 
-test('an answer that is closed in order is whole, also when the loop finds all of it at once', async () => {
+test('a response with an orderly close is complete even if the event loop finds all of it at once', async () => {
   for (let i = 0; i < 20; i++) {
-    const outcome = await play({ answer: (socket) => socket.end(`${FRAMINGS.connection}whole`) })
-    assert.equal(outcome, { type: 'end', bodyBytes: 5 }, `answer ${i}`)
+    const outcome = await callReplica({ answer: (socket) => socket.end(`${FRAMINGS.connection}whole`) })
+    assert.equal(outcome, { type: 'end', bodyBytes: 5 }, `response ${i}`)
   }
 })
 
 for (const [framing, head] of Object.entries(FRAMINGS)) {
-  test(`a caller that reads slowly gets all of an answer that ends with its connection (${framing})`, async () => {
-    const outcome = await play({ pauseMs: 60, answer: (socket) => socket.end(`${head}${'x'.repeat(BODY_BYTES)}${framing === 'chunked' ? LAST_CHUNK : ''}`) })
+  test(`a slow caller receives all of a response whose connection is closed after it (${framing})`, async () => {
+    const outcome = await callReplica({ pauseMs: 60, answer: (socket) => socket.end(`${head}${'x'.repeat(BODY_BYTES)}${framing === 'chunked' ? LAST_CHUNK : ''}`) })
     assert.equal(uncaught.splice(0), [])
     assert.equal(outcome, { type: 'end', bodyBytes: BODY_BYTES })
   })
 
-  test(`a reset while reading is paused is a failure of that call alone (${framing})`, async () => {
-    const outcome = await play({
+  test(`a reset while reading is paused fails only that call (${framing})`, async () => {
+    const outcome = await callReplica({
       pauseMs: 60,
       answer: (socket) => socket.write(`${head}${'x'.repeat(BODY_BYTES / 2)}`, () => setTimeout(() => socket.resetAndDestroy(), 30))
     })
--- a/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeAnswerIdentity.test.ts
+++ b/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeAnswerIdentity.test.ts
@@ -1,68 +1,67 @@
-// A caller got an answer that was not its own: the replica had answered an earlier
-// request twice, and the second answer came after the next request was on the same
-// connection. The id was compared for runs only, and after `not run` was believed; a
-// prefill took the handle of another request. The id also can't tell two answers to
-// the same request apart. Evidence: before the mend the prefill below gave the handle
-// of the first request, and a request that ran was reported as not run.
+// Guards against responses that reach the wrong request. A replica answered a request twice, and
+// the duplicate arrived after the next request had been sent on the same connection. The id was
+// compared only for runs, and only after `not run` had been accepted; a prefill didn't compare it.
+// Nor can the id distinguish two responses to the same request. Before the fix, the prefill below
+// returned the handle of the first request, and a request that ran was reported as not run.
 import { setTimeout as sleep } from 'node:timers/promises'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { beforeReplica } from './ReplicaScene.js'
-import type { ReplicaScene } from './ReplicaScene.js'
-import { answerOf } from './ScriptedReplica.js'
-import type { ScriptedAnswer, ScriptedRequest } from './ScriptedReplica.js'
+import { withReplicaHarness } from './ReplicaScene.js'
+import type { ReplicaHarness } from './ReplicaScene.js'
+import { formatResponse } from './ScriptedReplica.js'
+import type { ScriptedRequest, ScriptedResponse } from './ScriptedReplica.js'
 
 const IDLE_MS = 40
 
-/** Answer to the request itself: a handle or a signed body, both named after it. */
-function ownAnswer ({ headers }: ScriptedRequest): string {
+/** Returns the correct response to a request: a handle or a signed body that contains its id. */
+function createResponse ({ headers }: ScriptedRequest): string {
   const id = headers['x-id']
-  return headers['x-prefill'] === undefined ? answerOf({ id, isSigned: true, body: `answer to ${id}` }) : answerOf({ id, body: `handle-${id}` })
+  return headers['x-prefill'] === undefined ? formatResponse({ id, isSigned: true, body: `answer to ${id}` }) : formatResponse({ id, body: `handle-${id}` })
 }
 
-/** Answers the first request with `first`, and sends that again before the answer to the second one if both share a connection. */
-function withDouble (first: (request: ScriptedRequest) => string): (request: ScriptedRequest) => void {
-  let double: { readonly bytes: string, readonly connection: number } | undefined
+/** Answers the first request with `first`, and repeats that before the response to the second request if both share a connection. */
+function withDuplicate (first: (request: ScriptedRequest) => string): (request: ScriptedRequest) => void {
+  let duplicate: { readonly bytes: string, readonly connection: number } | undefined
   return (request) => {
     if (request.number === 1) {
-      double = { bytes: first(request), connection: request.connection }
-      request.socket.write(double.bytes)
+      duplicate = { bytes: first(request), connection: request.connection }
+      request.socket.write(duplicate.bytes)
       return
     }
-    if (request.number === 2 && double?.connection === request.connection) request.socket.write(double.bytes)
-    request.socket.write(ownAnswer(request))
+    if (request.number === 2 && duplicate?.connection === request.connection) request.socket.write(duplicate.bytes)
+    request.socket.write(createResponse(request))
   }
 }
 
-const always = (answer: ScriptedAnswer) => ({ headers, socket }: ScriptedRequest): void => { socket.write(answerOf({ id: headers['x-id'], ...answer })) }
-const refusal = ({ headers }: ScriptedRequest): string => answerOf({ status: 503, id: headers['x-id'], isNotRun: true })
-const misdirected = ({ headers }: ScriptedRequest): string => answerOf({ status: 421, id: headers['x-id'] })
-const failureOf = async (end: ReturnType<ReplicaScene['run']>): Promise<string> => {
+const alwaysRespond = (response: ScriptedResponse) => ({ headers, socket }: ScriptedRequest): void => { socket.write(formatResponse({ id: headers['x-id'], ...response })) }
+const refusal = ({ headers }: ScriptedRequest): string => formatResponse({ status: 503, id: headers['x-id'], isNotRun: true })
+const misdirected = ({ headers }: ScriptedRequest): string => formatResponse({ status: 421, id: headers['x-id'] })
+const failureOf = async (end: ReturnType<ReplicaHarness['run']>): Promise<string> => {
   const event = await end
   return event.type === 'run_failed' ? event.failure : `answered ${event.status}`
 }
 
-test('a prefill does not take the handle of another request', async () => {
-  await beforeReplica(withDouble(ownAnswer), async ({ garbled, prefill }) => {
+test('a prefill does not accept the handle of another request', async () => {
+  await withReplicaHarness(withDuplicate(createResponse), async ({ invalidResponses, prefill }) => {
     assert.equal((await prefill('a')).outcome, { type: 'read', handle: 'handle-a' })
     await sleep(IDLE_MS)
     assert.equal((await prefill('b')).outcome, { type: 'failed', failure: 'unknown' })
-    assert.equal(garbled, ['answer to another request: a'])
+    assert.equal(invalidResponses, ['answer to another request: a'])
   })
 })
 
-for (const [what, first] of [['refusal', refusal], ['answer of a wrong replica', misdirected]] as const) {
-  test(`a prefill does not take the ${what} to another request`, async () => {
-    await beforeReplica(withDouble(first), async ({ prefill }) => {
+for (const [what, first] of [['refusal', refusal], ['wrong-replica response', misdirected]] as const) {
+  test(`a prefill does not accept a ${what} to another request`, async () => {
+    await withReplicaHarness(withDuplicate(first), async ({ prefill }) => {
       await prefill('a')
       await sleep(IDLE_MS)
       assert.equal((await prefill('b')).outcome, { type: 'failed', failure: 'unknown' })
     })
   })
 
-  test(`a run does not take the ${what} to another request: it may be running`, async () => {
-    await beforeReplica(withDouble(first), async ({ prefill, run }) => {
-      // The connection of a run that was refused is closed; that of a prefill stays.
+  test(`a run does not accept a ${what} to another request: its outcome is unknown`, async () => {
+    await withReplicaHarness(withDuplicate(first), async ({ prefill, run }) => {
+      // A refused prefill leaves its connection open; that of a refused run is closed.
       await prefill('a')
       await sleep(IDLE_MS)
       assert.is(await failureOf(run('b')), 'unknown')
@@ -70,23 +69,23 @@
   })
 }
 
-for (const [what, answer] of [
-  ['result of a prefill', { id: undefined, body: 'handle' }],
+for (const [what, response] of [
+  ['prefill result', { id: undefined, body: 'handle' }],
   ['refusal', { id: undefined, status: 503, isNotRun: true }],
-  ['answer of a wrong replica', { id: undefined, status: 421 }],
+  ['wrong-replica response', { id: undefined, status: 421 }],
   ['failure', { id: undefined, status: 500, isSigned: true }]
 ] as const) {
-  test(`a ${what} that names no request is not believed`, async () => {
-    await beforeReplica(always(answer), async ({ garbled, prefill, run }) => {
+  test(`a ${what} without a request id is rejected`, async () => {
+    await withReplicaHarness(alwaysRespond(response), async ({ invalidResponses, prefill, run }) => {
       assert.equal((await prefill('a')).outcome, { type: 'failed', failure: 'unknown' })
       assert.is(await failureOf(run('b')), 'unknown')
-      assert.equal(garbled, ['answer without a request id', 'answer without a request id'])
+      assert.equal(invalidResponses, ['answer without a request id', 'answer without a request id'])
     })
   })
 }
 
-test('a refusal and an answer of a wrong replica are believed when they name the request', async () => {
-  await beforeReplica((request) => request.socket.write(request.number % 2 === 1 ? refusal(request) : misdirected(request)), async ({ prefill, run }) => {
+test('a refusal and a wrong-replica response with the id of the request are accepted', async () => {
+  await withReplicaHarness((request) => request.socket.write(request.number % 2 === 1 ? refusal(request) : misdirected(request)), async ({ prefill, run }) => {
     assert.is(await failureOf(run('a')), 'not_run')
     assert.is(await failureOf(run('b')), 'wrong_replica')
     assert.equal((await prefill('c')).outcome, { type: 'failed', failure: 'not_run' })
@@ -94,8 +93,8 @@
   })
 })
 
-test('a connection on which the answer to another request came is closed', async () => {
-  await beforeReplica(withDouble(ownAnswer), async ({ prefill, replica }) => {
+test('a connection is closed after a response to another request', async () => {
+  await withReplicaHarness(withDuplicate(createResponse), async ({ prefill, replica }) => {
     await prefill('a')
     await sleep(IDLE_MS)
     await prefill('b')
@@ -106,7 +105,7 @@
 })
 
 test('a request is not sent over a connection that carried its prefill', async () => {
-  await beforeReplica(withDouble(ownAnswer), async ({ delivered, prefill, replica, run }) => {
+  await withReplicaHarness(withDuplicate(createResponse), async ({ delivered, prefill, replica, run }) => {
     await prefill('a')
     await sleep(IDLE_MS)
     assert.is((await run('a', 2)).type, 'answer_complete')
@@ -115,17 +114,17 @@
   })
 })
 
-test('a prefill that was refused is not sent again over the same connection', async () => {
-  await beforeReplica(withDouble(refusal), async ({ prefill }) => {
+test('a refused prefill is not retried over the same connection', async () => {
+  await withReplicaHarness(withDuplicate(refusal), async ({ prefill }) => {
     assert.equal((await prefill('a')).outcome, { type: 'failed', failure: 'not_run' })
     await sleep(IDLE_MS)
     assert.equal((await prefill('a', 2)).outcome, { type: 'read', handle: 'handle-a' })
   })
 })
 
-test('a run that was answered with a failure is not sent again over the same connection', async () => {
-  const failure = ({ headers }: ScriptedRequest): string => answerOf({ status: 500, id: headers['x-id'], isSigned: true, body: 'failed' })
-  await beforeReplica(withDouble(failure), async ({ delivered, run }) => {
+test('a run that failed is not retried over the same connection', async () => {
+  const failure = ({ headers }: ScriptedRequest): string => formatResponse({ status: 500, id: headers['x-id'], isSigned: true, body: 'failed' })
+  await withReplicaHarness(withDuplicate(failure), async ({ delivered, run }) => {
     await run('a')
     await sleep(IDLE_MS)
     await run('a', 2)
@@ -133,8 +132,8 @@
   })
 })
 
-test('requests of different ids share a connection', async () => {
-  await beforeReplica((request) => request.socket.write(ownAnswer(request)), async ({ prefill, replica, run }) => {
+test('requests with different ids share a connection', async () => {
+  await withReplicaHarness((request) => request.socket.write(createResponse(request)), async ({ prefill, replica, run }) => {
     for (const id of ['a', 'b', 'c']) {
       await prefill(`${id}1`)
       await sleep(IDLE_MS)
@@ -145,20 +144,20 @@
   })
 })
 
-const UNASKED: ReadonlyArray<readonly [string, string]> = [
-  ['a whole answer', answerOf({ id: 'a', isSigned: true, body: 'answer to a' })],
-  ['the beginning of an answer', 'HTTP/1.1 20'],
-  ['bytes that are no answer', 'what is this']
+const UNSOLICITED: ReadonlyArray<readonly [string, string]> = [
+  ['a complete response', formatResponse({ id: 'a', isSigned: true, body: 'answer to a' })],
+  ['the beginning of a response', 'HTTP/1.1 20'],
+  ['bytes that are not a response', 'what is this']
 ]
-for (const [what, bytes] of UNASKED) {
-  for (const [when, delayMs] of [['in the same segment as an answer', 0], ['on an idle connection', 10]] as const) {
-    test(`a connection is not used again after ${what} came unasked ${when}`, async () => {
-      const answer = (request: ScriptedRequest): void => {
-        const own = ownAnswer(request)
-        if (delayMs === 0) request.socket.write(own + bytes)
-        else request.socket.write(own, () => { setTimeout(() => request.socket.write(bytes), delayMs) })
+for (const [what, bytes] of UNSOLICITED) {
+  for (const [when, delayMs] of [['in the same segment as a response', 0], ['on an idle connection', 10]] as const) {
+    test(`a connection is not reused after unsolicited data: ${what} ${when}`, async () => {
+      const respond = (request: ScriptedRequest): void => {
+        const response = createResponse(request)
+        if (delayMs === 0) request.socket.write(response + bytes)
+        else request.socket.write(response, () => { setTimeout(() => request.socket.write(bytes), delayMs) })
       }
-      await beforeReplica(answer, async ({ replica, run }) => {
+      await withReplicaHarness(respond, async ({ replica, run }) => {
         assert.is(await failureOf(run('a')), 'answered 200')
         await sleep(IDLE_MS)
         assert.is(await failureOf(run('b')), 'answered 200')
@@ -168,11 +167,11 @@
   }
 }
 
-test('a connection is not used again after an empty line came while it was idle', async () => {
-  const answer = (request: ScriptedRequest): void => {
-    request.socket.write(ownAnswer(request), () => { setTimeout(() => request.socket.write('\r\n'), IDLE_MS / 4) })
+test('a connection is not reused after an empty line arrived while it was idle', async () => {
+  const respond = (request: ScriptedRequest): void => {
+    request.socket.write(createResponse(request), () => { setTimeout(() => request.socket.write('\r\n'), IDLE_MS / 4) })
   }
-  await beforeReplica(answer, async ({ replica, run }) => {
+  await withReplicaHarness(respond, async ({ replica, run }) => {
     await run('a')
     await sleep(IDLE_MS)
     await run('b')
@@ -180,9 +179,9 @@
   })
 })
 
-// The parser passes over it, and it can be taken for no answer.
-test('an empty line in the same segment as an answer leaves the next answer as it is', async () => {
-  await beforeReplica((request) => request.socket.write(`${ownAnswer(request)}\r\n`), async ({ delivered, run }) => {
+// The parser skips an empty line, which can't be mistaken for a response.
+test('an empty line in the same segment as a response does not affect the next response', async () => {
+  await withReplicaHarness((request) => request.socket.write(`${createResponse(request)}\r\n`), async ({ delivered, run }) => {
     await run('a')
     await sleep(IDLE_MS)
     await run('b')
@@ -190,8 +189,8 @@
   })
 })
 
-test('a connection carries no more requests than it remembers', async () => {
-  await beforeReplica((request) => request.socket.write(ownAnswer(request)), async ({ prefill, replica }) => {
+test('a connection carries no more requests than the ids that it stores', async () => {
+  await withReplicaHarness((request) => request.socket.write(createResponse(request)), async ({ prefill, replica }) => {
     for (let i = 0; i < 300; i++) {
       await prefill(`r${i}`)
       await new Promise(setImmediate)
--- a/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeCallerLeft.test.ts
+++ b/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeCallerLeft.test.ts
@@ -1,7 +1,8 @@
-// A caller sends a request, a part of the next one behind it, and closes its connection.
-// Until the answer is there, nobody learns that the caller has left: the error of the parser
-// is noted only, the server closes nothing then, and the replica works on. The same behind a
-// whole request whose body nobody reads before its turn. Evidence: left after 1.9 s.
+// Guards against a caller's disconnect going unnoticed until the response is complete, so that the
+// replica keeps working. It happened when a caller sent a request and part of the next one and
+// closed the connection: the parser error was only recorded and the server closed nothing. A
+// complete pipelined request whose body wasn't read before it left the queue had the same effect.
+// The disconnect was noticed after 1.9 s.
 import type { AddressInfo } from 'node:net'
 import { connect } from 'node:net'
 import { setTimeout as sleep } from 'node:timers/promises'
@@ -12,42 +13,42 @@
 
 const HEAD = 'POST /two HTTP/1.1\r\nHost: a\r\nContent-Length: '
 const FOLLOWING = {
-  nothing: '',
-  'a part of a head': 'GET /two HTTP/1.1\r\nHo',
-  'a part of a body': `${HEAD}20\r\n\r\nx`,
+  'nothing more': '',
+  'part of a request head': 'GET /two HTTP/1.1\r\nHo',
+  'part of a request body': `${HEAD}20\r\n\r\nx`,
   'a request of 200 KB': `${HEAD}200000\r\n\r\n${'x'.repeat(200_000)}`
 }
 
-/** Callers that left may have a replica at work for so long. */
-const LEFT_MS = 500
+/** Time within which the disconnect of a caller must be noticed. */
+const MAX_NOTICE_MS = 500
 
 for (const [name, following] of Object.entries(FOLLOWING)) {
-  test(`a caller that leaves is noticed, behind ${name}`, async () => {
-    let isLeft = false
-    let reached = (): void => {}
-    const isReached = new Promise<void>((resolve) => { reached = resolve })
+  test(`the disconnect of a caller is noticed after it sent ${name}`, async () => {
+    let isDisconnectNoticed = false
+    let signalArrival = (): void => {}
+    const hasArrived = new Promise<void>((resolve) => { signalArrival = resolve })
     const { server } = createCallerServer({
       dialect: { readyPath: '/ready', readRequest: () => Ok({ requestId: 'a', forwardHeaders: [] }) },
       limits: () => ({ headerBytes: 16_384, bodyBytes: 4_194_304, headerTimeoutMs: 3_000, idleTimeoutMs: 15_000 }),
       isStopping: () => false,
       onRejected: () => {},
       onRequest: ({ response }) => {
-        reached()
-        response.once('close', () => { isLeft = true })
+        signalArrival()
+        response.once('close', () => { isDisconnectNoticed = true })
       }
     })
     await new Promise<void>((resolve) => { server.listen(0, '127.0.0.71', resolve) })
     const socket = connect((server.address() as AddressInfo).port, '127.0.0.71')
     socket.on('error', () => {})
     socket.write('GET /one HTTP/1.1\r\nHost: a\r\n\r\n')
-    await isReached
+    await hasArrived
     socket.write(following)
     await sleep(100)
     socket.destroy()
-    await sleep(LEFT_MS)
+    await sleep(MAX_NOTICE_MS)
     server.closeAllConnections()
     server.close()
-    assert.ok(isLeft)
+    assert.ok(isDisconnectNoticed)
   })
 }
 
--- a/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeCallerTurns.test.ts
+++ b/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeCallerTurns.test.ts
@@ -7,29 +7,29 @@
 import type { CompleteRequest } from '../../caller/BendfallEdgeServer.js'
 
 const DEADLINE_MS = 5_000
-const ANSWER_MS = 100
+const RESPONSE_MS = 100
 
 /** Timers may be early by up to a millisecond. */
-const LEAST_WAIT_MS = 99
+const MIN_WAIT_MS = 99
 
-interface Played {
+interface Outcome {
   readonly taken: readonly CompleteRequest[]
-  /** All that the caller read. */
+  /** Everything that the caller received. */
   readonly text: string
 }
 
-/** Sends bytes on one connection, answers each request after a while and reads to the end. */
-async function play (bytes: string, answerMs = 0): Promise<Played> {
+/** Sends bytes on one connection, responds to each request after a delay and reads until the connection is closed. */
+async function callServer (bytes: string, responseMs = 0): Promise<Outcome> {
   const taken: CompleteRequest[] = []
   const { server } = createCallerServer({
     dialect: { readyPath: '/ready', readRequest: () => Ok({ requestId: 'a', deadlineMs: DEADLINE_MS, forwardHeaders: [] }) },
     limits: () => INITIAL_LIMITS,
     isStopping: () => false,
     onRejected: () => {},
-    onRequest: (whole) => {
-      taken.push(whole)
-      const body = `${whole.request.url} ${whole.body.toString()}`
-      setTimeout(() => whole.response.writeHead(200, { 'content-length': body.length }).end(body), answerMs)
+    onRequest: (completeRequest) => {
+      taken.push(completeRequest)
+      const body = `${completeRequest.request.url} ${completeRequest.body.toString()}`
+      setTimeout(() => completeRequest.response.writeHead(200, { 'content-length': body.length }).end(body), responseMs)
     }
   })
   await new Promise<void>((resolve) => { server.listen(0, '127.0.0.1', resolve) })
@@ -42,38 +42,38 @@
   return { taken, text }
 }
 
-const statuses = ({ text }: Played): number[] => [...text.matchAll(/HTTP\/1\.1 (\d{3}) /g)].map(([, status]) => Number(status))
+const statuses = ({ text }: Outcome): number[] => [...text.matchAll(/HTTP\/1\.1 (\d{3}) /g)].map(([, status]) => Number(status))
 const post = (path: string, body: string): string => `POST ${path} HTTP/1.1\r\nHost: a\r\nContent-Length: ${body.length}\r\n\r\n${body}`
-const LAST = 'GET /last HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n'
+const LAST_REQUEST = 'GET /last HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n'
 
-test('requests on one connection are taken in turn, with their own bodies', async () => {
-  const played = await play(post('/1', 'one') + post('/2', 'two') + LAST, ANSWER_MS)
-  assert.equal(played.taken.map(({ body, request }) => `${request.url} ${body.toString()}`), ['/1 one', '/2 two', '/last '])
-  assert.equal(statuses(played), [200, 200, 200])
+test('pipelined requests are processed in order, each with its own body', async () => {
+  const outcome = await callServer(post('/1', 'one') + post('/2', 'two') + LAST_REQUEST, RESPONSE_MS)
+  assert.equal(outcome.taken.map(({ body, request }) => `${request.url} ${body.toString()}`), ['/1 one', '/2 two', '/last '])
+  assert.equal(statuses(outcome), [200, 200, 200])
 })
 
-test('the time budget of a request is less by the time that it waited for its turn', async () => {
-  const { taken } = await play(post('/1', 'one') + LAST, ANSWER_MS)
+test('the deadline of a pipelined request is reduced by the time that it was queued', async () => {
+  const { taken } = await callServer(post('/1', 'one') + LAST_REQUEST, RESPONSE_MS)
   const [first = 0, second = 0] = taken.map(({ caller }) => caller.deadlineMs)
-  assert.ok(first - second > LEAST_WAIT_MS, `${first} ${second}`)
+  assert.ok(first - second > MIN_WAIT_MS, `${first} ${second}`)
 })
 
-test('a request whose body cannot be read is refused and not taken', async () => {
-  const played = await play('POST /1 HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nno size\r\n')
-  assert.equal(played.taken, [])
-  assert.equal(statuses(played), [400])
+test('a request whose body cannot be parsed is refused and not processed', async () => {
+  const outcome = await callServer('POST /1 HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nno size\r\n')
+  assert.equal(outcome.taken, [])
+  assert.equal(statuses(outcome), [400])
 })
 
-test('a request whose body cannot be read is refused in its turn', async () => {
-  const played = await play(post('/1', 'one') + 'POST /2 HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nno size\r\n', ANSWER_MS)
-  assert.equal(played.taken.map(({ request }) => request.url), ['/1'])
-  assert.equal(statuses(played), [200, 400])
+test('a pipelined request whose body cannot be parsed is refused after the response to the previous request', async () => {
+  const outcome = await callServer(post('/1', 'one') + 'POST /2 HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nno size\r\n', RESPONSE_MS)
+  assert.equal(outcome.taken.map(({ request }) => request.url), ['/1'])
+  assert.equal(statuses(outcome), [200, 400])
 })
 
-test('a bounded number of requests waits on one connection', async () => {
-  const played = await play('GET / HTTP/1.1\r\nHost: a\r\n\r\n'.repeat(150))
-  assert.is(played.taken.length, 101)
-  assert.is(statuses(played).at(-1), 503)
+test('the number of requests queued on one connection is limited', async () => {
+  const outcome = await callServer('GET / HTTP/1.1\r\nHost: a\r\n\r\n'.repeat(150))
+  assert.is(outcome.taken.length, 101)
+  assert.is(statuses(outcome).at(-1), 503)
 })
 
 test.run()
--- a/packages/bendfall-edge/src/__tests__/unit/DirectoryWorld.ts
+++ b/packages/bendfall-edge/src/__tests__/unit/DirectoryWorld.ts
@@ -7,23 +7,23 @@
 import { createMetrics } from '../../observe/BendfallEdgeMetrics.js'
 import type { VirtualClock } from './VirtualClock.js'
 
-/** Eras are told apart in revisions as in the adapter. */
+/** Revisions contain the era as a multiple of this unit, as in the platform adapter. */
 const ERA_UNIT = 1_000_000
 
 const HEARTBEAT_MS = 1_200
 
-/** A registration that is not written again lapses after this. */
+/** Time after which a registration expires unless it is written again. */
 const LEASE_MS = 3_600
 
-/** Time in which a replica that leaves answers on before its process ends. */
-const LEAVING_MS = 3_000
+/** Time for which a draining replica keeps answering before its process exits. */
+const SHUTDOWN_MS = 3_000
 
-/** Time after which a replica that leaves must get no new work. */
+/** Time after which a draining replica must not receive new requests. */
 export const DRAIN_MS = 2_000
 
 const SILENT = createLogger({ level: 'error', write: () => {} })
-const CALL_MS = 4
-const NO_ANSWER_MS = 600
+const CALL_LATENCY_MS = 4
+const CALL_TIMEOUT_MS = 600
 
 const CONFIG: RouterConfig = {
   version: 1,
@@ -32,111 +32,111 @@
   limits: { headerBytes: 4_096, bodyBytes: 4_096, headerTimeoutMs: 1_000, idleTimeoutMs: 1_000 }
 }
 
-interface Written extends KeyValueEntry {
-  readonly lapsesAtMs: number
+interface StoredEntry extends KeyValueEntry {
+  readonly expiresAtMs: number
 }
 
 interface Change {
-  readonly number: number
+  readonly revisionInEra: number
   readonly key: string
 }
 
-/** Store that comes back from older copies, with registrations in it. */
-export class DrillStore {
-  private entries = new Map<string, Written>()
+/** A simulated key-value service that holds registrations and can be restored from older backups. */
+export class SimulatedStore {
+  private entries = new Map<string, StoredEntry>()
   private changes: Change[] = []
-  private copies: Array<{ readonly atMs: number, readonly entries: Map<string, Written>, readonly number: number }> = []
+  private backups: Array<{ readonly atMs: number, readonly entries: Map<string, StoredEntry>, readonly revisionInEra: number }> = []
   private readonly waiting = new Set<() => void>()
   private era = 1
-  private number = 1
-  private awayUntilMs = -Infinity
+  private revisionInEra = 1
+  private unavailableUntilMs = -Infinity
 
   constructor (private readonly clock: VirtualClock) {
     this.put('config', CONFIG, Infinity)
   }
 
-  isAway (): boolean {
-    return this.clock.nowMs() < this.awayUntilMs
+  isUnavailable (): boolean {
+    return this.clock.nowMs() < this.unavailableUntilMs
   }
 
-  put (key: string, value: unknown, lapsesAtMs = this.clock.nowMs() + LEASE_MS): void {
-    if (this.isAway()) return
-    this.note(key)
+  put (key: string, value: unknown, expiresAtMs = this.clock.nowMs() + LEASE_MS): void {
+    if (this.isUnavailable()) return
+    this.recordChange(key)
     const createdRevision = this.entries.get(key)?.createdRevision ?? this.revision()
-    this.entries.set(key, { key, value: JSON.stringify(value), revision: this.revision(), createdRevision, leaseId: '', lapsesAtMs })
-    this.changed()
+    this.entries.set(key, { key, value: JSON.stringify(value), revision: this.revision(), createdRevision, leaseId: '', expiresAtMs })
+    this.publishChange()
   }
 
   remove (key: string): void {
-    if (this.isAway() || !this.entries.delete(key)) return
-    this.note(key)
-    this.changed()
+    if (this.isUnavailable() || !this.entries.delete(key)) return
+    this.recordChange(key)
+    this.publishChange()
   }
 
-  /** Is away for a time, and goes on from its copy of some time ago. */
-  restore (copyAgeMs: number, awayMs: number): void {
+  /** Makes the service unavailable for a time, and restores it from its backup of the given age. */
+  restore (backupAgeMs: number, outageMs: number): void {
     const { nowMs } = this.clock
-    const copy = this.copies.findLast(({ atMs }) => atMs <= nowMs() - copyAgeMs) ?? this.copies[0]
-    this.awayUntilMs = nowMs() + awayMs
+    const backup = this.backups.findLast(({ atMs }) => atMs <= nowMs() - backupAgeMs) ?? this.backups[0]
+    this.unavailableUntilMs = nowMs() + outageMs
     this.era += 1
-    this.number = copy?.number ?? 1
-    this.copies = []
+    this.revisionInEra = backup?.revisionInEra ?? 1
+    this.backups = []
     this.changes = []
-    const untilMs = this.awayUntilMs + LEASE_MS
-    const kept = [...copy?.entries ?? []].map(([key, entry]): [string, Written] => [key, { ...entry, revision: this.eraOf(entry.revision), createdRevision: this.eraOf(entry.createdRevision ?? 0), lapsesAtMs: entry.lapsesAtMs === Infinity ? Infinity : untilMs }])
-    this.entries = new Map(kept)
-    this.changed()
+    const restoredExpiryMs = this.unavailableUntilMs + LEASE_MS
+    const restored = [...backup?.entries ?? []].map(([key, entry]): [string, StoredEntry] => [key, { ...entry, revision: this.toCurrentEra(entry.revision), createdRevision: this.toCurrentEra(entry.createdRevision ?? 0), expiresAtMs: entry.expiresAtMs === Infinity ? Infinity : restoredExpiryMs }])
+    this.entries = new Map(restored)
+    this.publishChange()
   }
 
   join (): { readonly port: KeyValuePort, latencyMs: number } {
-    const way = { port: {} as KeyValuePort, latencyMs: CALL_MS }
+    const client = { port: {} as KeyValuePort, latencyMs: CALL_LATENCY_MS }
     const listeners = new Set<(change: EraChange) => void>()
-    let seen: number | undefined
+    let lastEra: number | undefined
     const wait = (ms: number): Promise<void> => new Promise((resolve) => { this.clock.callAt(this.clock.nowMs() + ms, resolve) })
-    const call = async <T extends { readonly type: string }>(timeoutMs: number, act: () => Promise<T> | T): Promise<T | { type: 'unavailable', detail: string }> => {
-      const late = wait(timeoutMs).then(() => ({ type: 'unavailable' as const, detail: 'no answer in time' }))
-      return await Promise.race([answer(act), late])
+    const call = async <T extends { readonly type: string }>(timeoutMs: number, operation: () => Promise<T> | T): Promise<T | { type: 'unavailable', detail: string }> => {
+      const timeout = wait(timeoutMs).then(() => ({ type: 'unavailable' as const, detail: 'no answer in time' }))
+      return await Promise.race([respond(operation), timeout])
     }
-    const answer = async <T extends { readonly type: string }>(act: () => Promise<T> | T): Promise<T | { type: 'unavailable', detail: string }> => {
-      await wait(Math.min(NO_ANSWER_MS, way.latencyMs / 2))
-      if (way.latencyMs > NO_ANSWER_MS || this.isAway()) return { type: 'unavailable', detail: 'no answer' }
+    const respond = async <T extends { readonly type: string }>(operation: () => Promise<T> | T): Promise<T | { type: 'unavailable', detail: string }> => {
+      await wait(Math.min(CALL_TIMEOUT_MS, client.latencyMs / 2))
+      if (client.latencyMs > CALL_TIMEOUT_MS || this.isUnavailable()) return { type: 'unavailable', detail: 'no answer' }
       const era = this.era
-      const outcome = await act()
-      await wait(way.latencyMs / 2)
-      if (era < (seen ?? 0) || this.isAway()) return { type: 'unavailable', detail: 'an answer of an earlier era' }
-      const formerEra = seen
-      seen = era
+      const outcome = await operation()
+      await wait(client.latencyMs / 2)
+      if (era < (lastEra ?? 0) || this.isUnavailable()) return { type: 'unavailable', detail: 'an answer of an earlier era' }
+      const formerEra = lastEra
+      lastEra = era
       if (formerEra !== undefined && formerEra < era) for (const listener of listeners) listener({ era, formerEra })
       return outcome
     }
-    way.port = {
-      list: async () => await call(NO_ANSWER_MS, () => {
-        this.lapse()
+    client.port = {
+      list: async () => await call(CALL_TIMEOUT_MS, () => {
+        this.removeExpired()
         return { type: 'listed', entries: [...this.entries.values()], storeRevision: this.revision() }
       }),
-      watch: async (_prefix: string, since: number, waitMs: number, slackMs = NO_ANSWER_MS) => await call(waitMs + slackMs, async () => await this.watch(since, waitMs)),
+      watch: async (_prefix: string, since: number, waitMs: number, slackMs = CALL_TIMEOUT_MS) => await call(waitMs + slackMs, async () => await this.watch(since, waitMs)),
       onEra: (listener: (change: EraChange) => void) => {
         listeners.add(listener)
         return () => { listeners.delete(listener) }
       }
     } as unknown as KeyValuePort
-    return way
+    return client
   }
 
   private async watch (since: number, waitMs: number): Promise<WatchOutcome> {
     const era = this.era
     if (Math.floor(since / ERA_UNIT) !== era) return { type: 'history_lost' }
-    await this.untilChanged(since, waitMs)
+    await this.waitForChange(since, waitMs)
     if (this.era !== era) return { type: 'history_lost' }
-    this.lapse()
-    const keys = new Set(this.changes.filter(({ number }) => this.era * ERA_UNIT + number > since).map(({ key }) => key))
+    this.removeExpired()
+    const keys = new Set(this.changes.filter(({ revisionInEra }) => this.era * ERA_UNIT + revisionInEra > since).map(({ key }) => key))
     if (keys.size === 0) return { type: 'unchanged', storeRevision: this.revision() }
     const entries = [...keys].flatMap((key) => this.entries.get(key) ?? [])
     return { type: 'changed', entries, deletedKeys: [...keys].filter((key) => !this.entries.has(key)), storeRevision: this.revision() }
   }
 
-  private async untilChanged (since: number, waitMs: number): Promise<void> {
-    this.lapse()
+  private async waitForChange (since: number, waitMs: number): Promise<void> {
+    this.removeExpired()
     if (this.revision() > since) return
     await new Promise<void>((resolve) => {
       const cancel = this.clock.callAt(this.clock.nowMs() + waitMs, () => {
@@ -151,18 +151,18 @@
     })
   }
 
-  /** Removes what its owners did not write again. */
-  lapse (): void {
-    for (const [key, { lapsesAtMs }] of this.entries) if (lapsesAtMs <= this.clock.nowMs()) this.remove(key)
+  /** Removes the entries that their owners have not renewed in time. */
+  removeExpired (): void {
+    for (const [key, { expiresAtMs }] of this.entries) if (expiresAtMs <= this.clock.nowMs()) this.remove(key)
   }
 
-  private note (key: string): void {
-    this.number += 1
-    this.changes.push({ number: this.number, key })
+  private recordChange (key: string): void {
+    this.revisionInEra += 1
+    this.changes.push({ revisionInEra: this.revisionInEra, key })
   }
 
-  private changed (): void {
-    this.copies.push({ atMs: this.clock.nowMs(), entries: new Map(this.entries), number: this.number })
+  private publishChange (): void {
+    this.backups.push({ atMs: this.clock.nowMs(), entries: new Map(this.entries), revisionInEra: this.revisionInEra })
     for (const wake of this.waiting) {
       this.waiting.delete(wake)
       wake()
@@ -170,23 +170,23 @@
   }
 
   private revision (): number {
-    return this.eraOf(this.number)
+    return this.toCurrentEra(this.revisionInEra)
   }
 
-  private eraOf (revision: number): number {
+  private toCurrentEra (revision: number): number {
     return this.era * ERA_UNIT + revision % ERA_UNIT
   }
 }
 
-/** A replica that keeps its registration up, leaves and starts again. */
-export class DrillReplica {
+/** A simulated replica that renews its registration, drains and restarts. */
+export class SimulatedReplica {
   leftAtMs: number | undefined
   private state: 'ready' | 'draining' | 'gone' = 'ready'
   private born = 1
   private seq = 0
-  private life = 0
+  private startCount = 0
 
-  constructor (private readonly clock: VirtualClock, private readonly store: DrillStore, readonly replicaId: string) {
+  constructor (private readonly clock: VirtualClock, private readonly store: SimulatedStore, readonly replicaId: string) {
     this.start()
   }
 
@@ -195,32 +195,32 @@
     this.state = 'draining'
     this.leftAtMs = this.clock.nowMs()
     this.write()
-    const { life } = this
-    this.clock.callAt(this.clock.nowMs() + LEAVING_MS, () => {
-      if (life !== this.life) return
+    const { startCount } = this
+    this.clock.callAt(this.clock.nowMs() + SHUTDOWN_MS, () => {
+      if (startCount !== this.startCount) return
       this.state = 'gone'
       this.store.remove(this.key)
     })
   }
 
   start (): void {
-    if (this.state === 'ready' && this.life > 0) return
-    this.life += 1
+    if (this.state === 'ready' && this.startCount > 0) return
+    this.startCount += 1
     this.state = 'ready'
     this.leftAtMs = undefined
     this.born = this.clock.nowMs() + 1
     this.seq = 0
-    this.beat(this.life)
+    this.sendHeartbeat(this.startCount)
   }
 
   private get key (): string {
     return `servers/${this.replicaId}`
   }
 
-  private beat (life: number): void {
-    if (life !== this.life || this.state === 'gone') return
+  private sendHeartbeat (startCount: number): void {
+    if (startCount !== this.startCount || this.state === 'gone') return
     this.write()
-    this.clock.callAt(this.clock.nowMs() + HEARTBEAT_MS, () => this.beat(life))
+    this.clock.callAt(this.clock.nowMs() + HEARTBEAT_MS, () => this.sendHeartbeat(startCount))
   }
 
   private write (): void {
@@ -229,17 +229,17 @@
   }
 }
 
-/** An entry that follows the store, with one call after the other. */
-export class DrillEntry {
+/** A simulated entry that follows the store and routes requests one at a time. */
+export class SimulatedEntry {
   readonly sends: Array<{ readonly atMs: number, readonly replicaId: string }> = []
-  readonly way: ReturnType<DrillStore['join']>
+  readonly client: ReturnType<SimulatedStore['join']>
   private readonly state: RouterState
   private nextKey = 0
   private readonly dispatch: (event: RouterEvent) => void
   private readonly closeDirectory: () => void
 
-  constructor (private readonly clock: VirtualClock, store: DrillStore, seed: number) {
-    this.way = store.join()
+  constructor (private readonly clock: VirtualClock, store: SimulatedStore, seed: number) {
+    this.client = store.join()
     this.state = createRouterState(seed, `entry-${seed}`)
     const loop = createUpdateLoop<RouterEvent, RouterEffect>((event) => reduceRouter(this.state, event), clock)
     this.dispatch = loop.dispatch as (event: RouterEvent) => void
@@ -249,7 +249,7 @@
     })
     const close = registerDirectory({
       loop,
-      port: this.way.port,
+      port: this.client.port,
       logger: SILENT,
       metrics: createMetrics(),
       drainMs: DRAIN_MS,
@@ -287,9 +287,9 @@
 }
 
 function toReplica ({ createdRevision = 0, key, revision, value }: KeyValueEntry): Replica {
-  const told = JSON.parse(value) as { readonly startedAtMs: number, readonly heartbeats: number, readonly isDraining: boolean }
+  const registration = JSON.parse(value) as { readonly startedAtMs: number, readonly heartbeats: number, readonly isDraining: boolean }
   const replicaId = key.slice('servers/'.length)
-  return { ...told, replicaId, registeredAtRevision: createdRevision, revision, service: 'app', address: `${replicaId}:80`, availabilityZone: 'a', slots: 6, stage: 'plain' }
+  return { ...registration, replicaId, registeredAtRevision: createdRevision, revision, service: 'app', address: `${replicaId}:80`, availabilityZone: 'a', slots: 6, stage: 'plain' }
 }
 
 export { TICK_MS }
--- a/packages/bendfall-edge/src/__tests__/unit/ReplicaScene.ts
+++ b/packages/bendfall-edge/src/__tests__/unit/ReplicaScene.ts
@@ -11,40 +11,41 @@
 import type { ScriptedReplica, ScriptedRequest } from './ScriptedReplica.js'
 
 const WAIT_MS = 2_000
-const LOOK_MS = 5
+const POLL_MS = 5
 
-/** Sends and holds of an entry before one replica. */
-export interface ReplicaScene {
+/** The sends and holds of an entry, connected to one scripted replica. */
+export interface ReplicaHarness {
   readonly replica: ScriptedReplica
   readonly pools: ReplicaPools
   readonly loop: UpdateLoop<RouterEvent, RouterEffect>
   readonly events: readonly RouterEvent[]
-  /** What was said about answers that are not what a replica should send. */
-  readonly garbled: readonly string[]
-  /** Answers that callers got, by id. */
+  /** Details reported for invalid responses of the replica. */
+  readonly invalidResponses: readonly string[]
+  /** Responses delivered to callers, by request id. */
   readonly delivered: ReadonlyMap<string, BufferedResponse>
   readonly prefill: (id: string, attempt?: number) => Promise<RouterEventOf<'prefill_answered'>>
-  /** Runs a call; returns its end. */
+  /** Sends a run and returns its terminal event. */
   readonly run: (id: string, attempt?: number) => Promise<RouterEventOf<'answer_complete'> | RouterEventOf<'run_failed'>>
   readonly hold: (id: string) => Promise<RouterEventOf<'hold_answered'>>
-  /** Carries out an effect. */
-  readonly carryOut: (effect: RouterEffect) => void
-  /** Waits for an event. */
-  readonly next: <T extends RouterEvent['type']>(type: T, isIt: (event: RouterEventOf<T>) => boolean) => Promise<RouterEventOf<T>>
+  /** Executes an effect. */
+  readonly execute: (effect: RouterEffect) => void
+  /** Waits for a matching event, including those already dispatched. */
+  readonly waitForEvent: <T extends RouterEvent['type']>(type: T, matches: (event: RouterEventOf<T>) => boolean) => Promise<RouterEventOf<T>>
 }
 
 /**
- * Plays before a replica; all is closed whatever happens.
+ * Runs a test against a scripted replica, and closes the replica and all connections even if the
+ * test fails.
  *
- * @param answer - the replica's answer to each request
- * @param play - the test
+ * @param respond - called with each request; writes the response of the replica to the socket
+ * @param runTest - test to run
  */
-export async function beforeReplica (answer: (request: ScriptedRequest) => void, play: (scene: ReplicaScene) => Promise<void>): Promise<void> {
-  const replica = await startScriptedReplica(answer)
+export async function withReplicaHarness (respond: (request: ScriptedRequest) => void, runTest: (harness: ReplicaHarness) => Promise<void>): Promise<void> {
+  const replica = await startScriptedReplica(respond)
   const pools = createReplicaPools(() => {})
   const events: RouterEvent[] = []
   const pending: RouterEffect[] = []
-  const garbled: string[] = []
+  const invalidResponses: string[] = []
   const delivered = new Map<string, BufferedResponse>()
   const exchanges = new Map<string, Exchange>()
   const loop = createUpdateLoop<RouterEvent, RouterEffect>((event) => {
@@ -52,54 +53,54 @@
     return pending.splice(0)
   }, createSystemClock())
   const teardowns: Teardown[] = [
-    registerSends({ loop, dialect: SCRIPTED_DIALECT, exchanges, poolOf: pools.get, hasLimit: () => false, onInvalidResponse: (_, detail) => garbled.push(detail), onCloseDelimitedResponse: () => {} }),
+    registerSends({ loop, dialect: SCRIPTED_DIALECT, exchanges, poolOf: pools.get, hasLimit: () => false, onInvalidResponse: (_, detail) => invalidResponses.push(detail), onCloseDelimitedResponse: () => {} }),
     registerHolds({ loop, dialect: SCRIPTED_DIALECT, poolOf: pools.get, hasLimit: () => false })
   ]
 
-  const carryOut = (effect: RouterEffect): void => {
+  const execute = (effect: RouterEffect): void => {
     pending.push(effect)
     loop.dispatch({ type: 'time_passed' })
   }
   const wait = async <T>(find: () => T | undefined): Promise<T> => {
-    for (let waitedMs = 0; find() === undefined && waitedMs < WAIT_MS; waitedMs += LOOK_MS) await sleep(LOOK_MS)
+    for (let waitedMs = 0; find() === undefined && waitedMs < WAIT_MS; waitedMs += POLL_MS) await sleep(POLL_MS)
     const found = find()
-    if (found === undefined) throw new Error(`nothing came within ${WAIT_MS} ms`)
+    if (found === undefined) throw new Error(`no matching event within ${WAIT_MS} ms`)
     return found
   }
-  const find = <T extends RouterEvent['type']>(type: T, isIt: (event: RouterEventOf<T>) => boolean): RouterEventOf<T> | undefined =>
-    (events.filter((event) => event.type === type) as Array<RouterEventOf<T>>).find(isIt)
-  const next: ReplicaScene['next'] = (type, isIt) => wait(() => find(type, isIt))
-  const base = (id: string, attempt: number): { readonly key: string, readonly attempt: number, readonly replicaId: string, readonly address: string, readonly deadlineMs: number } => {
-    if (!exchanges.has(id)) exchanges.set(id, exchangeOf(id, delivered))
+  const find = <T extends RouterEvent['type']>(type: T, matches: (event: RouterEventOf<T>) => boolean): RouterEventOf<T> | undefined =>
+    (events.filter((event) => event.type === type) as Array<RouterEventOf<T>>).find(matches)
+  const waitForEvent: ReplicaHarness['next'] = (type, matches) => wait(() => find(type, matches))
+  const createTarget = (id: string, attempt: number): { readonly key: string, readonly attempt: number, readonly replicaId: string, readonly address: string, readonly deadlineMs: number } => {
+    if (!exchanges.has(id)) exchanges.set(id, createExchangeStub(id, delivered))
     return { key: id, attempt, replicaId: 'i-1', address: replica.address, deadlineMs: WAIT_MS }
   }
-  const scene: ReplicaScene = {
+  const harness: ReplicaHarness = {
     replica,
     pools,
     loop,
     events,
-    garbled,
+    invalidResponses,
     delivered,
-    carryOut,
-    next,
+    execute,
+    waitForEvent,
     prefill: (id, attempt = 1) => {
-      carryOut({ type: 'send_prefill', ...base(id, attempt), tryTimeoutMs: WAIT_MS })
-      return next('prefill_answered', (event) => event.key === id && event.attempt === attempt)
+      execute({ type: 'send_prefill', ...createTarget(id, attempt), tryTimeoutMs: WAIT_MS })
+      return waitForEvent('prefill_answered', (event) => event.key === id && event.attempt === attempt)
     },
     run: async (id, attempt = 1) => {
-      carryOut({ type: 'send_run', ...base(id, attempt), isStream: false })
-      const isIt = (event: { readonly key: string, readonly attempt: number }): boolean => event.key === id && event.attempt === attempt
-      const end = await wait(() => find('answer_complete', isIt) ?? find('run_failed', isIt))
-      if (end.type === 'answer_complete') carryOut({ type: 'deliver', key: id } as RouterEffectOf<'deliver'>)
+      execute({ type: 'send_run', ...createTarget(id, attempt), isStream: false })
+      const matches = (event: { readonly key: string, readonly attempt: number }): boolean => event.key === id && event.attempt === attempt
+      const end = await wait(() => find('answer_complete', matches) ?? find('run_failed', matches))
+      if (end.type === 'answer_complete') execute({ type: 'deliver', key: id } as RouterEffectOf<'deliver'>)
       return end
     },
     hold: (id) => {
-      carryOut({ type: 'take_hold', key: id, attempt: 1, replicaId: 'i-1', address: replica.address, tokens: 100, ttlMs: WAIT_MS, timeoutMs: WAIT_MS })
-      return next('hold_answered', ({ key }) => key === id)
+      execute({ type: 'take_hold', key: id, attempt: 1, replicaId: 'i-1', address: replica.address, tokens: 100, ttlMs: WAIT_MS, timeoutMs: WAIT_MS })
+      return waitForEvent('hold_answered', ({ key }) => key === id)
     }
   }
   try {
-    await play(scene)
+    await runTest(harness)
   } finally {
     for (const teardown of teardowns) await teardown()
     pools.destroyAll()
@@ -107,14 +108,14 @@
   }
 }
 
-function exchangeOf (id: string, delivered: Map<string, BufferedResponse>): Exchange {
+function createExchangeStub (id: string, delivered: Map<string, BufferedResponse>): Exchange {
   const exchange: Partial<Exchange> = {
     key: id,
     request: { method: 'GET', url: '/work' } as Exchange['request'],
     response: { headersSent: false } as Exchange['response'],
     caller: { requestId: id, forwardHeaders: ['X-Id', id] },
     body: Buffer.alloc(0),
-    deliver: (answer) => { delivered.set(id, answer) },
+    deliver: (response) => { delivered.set(id, response) },
     start: () => {},
     write: () => true,
     end: () => {},
--- a/packages/bendfall-edge/src/__tests__/unit/ScriptedReplica.ts
+++ b/packages/bendfall-edge/src/__tests__/unit/ScriptedReplica.ts
@@ -3,25 +3,25 @@
 import { Err, Ok } from 'ts-results-es'
 import type { EngineReport, ReplicaDialect } from '../../BendfallEdgeDialect.js'
 
-/** A request as the replica read it. */
+/** A request as received by the replica. */
 export interface ScriptedRequest {
   readonly method: string
   readonly path: string
   readonly headers: Readonly<Record<string, string>>
-  /** Its connection, counted from 1. */
+  /** Number of its connection, starting at 1. */
   readonly connection: number
   readonly socket: Socket
-  /** Place among all requests, counted from 1. */
+  /** Number of the request among all requests of the replica, starting at 1. */
   readonly number: number
 }
 
-/** A replica that answers with the bytes that a test writes. */
+/** A replica that sends the response bytes supplied by a test. */
 export interface ScriptedReplica {
   readonly address: string
   readonly requests: readonly ScriptedRequest[]
-  /** @returns connections that were opened */
+  /** @returns number of connections opened so far */
   readonly connections: () => number
-  /** @returns connections that are open now */
+  /** @returns number of connections currently open */
   readonly open: () => number
   readonly close: () => void
 }
@@ -29,10 +29,10 @@
 /**
  * Starts a replica on a free port.
  *
- * @param answer - called with each whole request
- * @returns the replica once it listens
+ * @param respond - called with each complete request; writes the response to the socket
+ * @returns the replica, listening on the loopback interface
  */
-export async function startScriptedReplica (answer: (request: ScriptedRequest) => void): Promise<ScriptedReplica> {
+export async function startScriptedReplica (respond: (request: ScriptedRequest) => void): Promise<ScriptedReplica> {
   const sockets = new Set<Socket>()
   const requests: ScriptedRequest[] = []
   let connections = 0
@@ -45,11 +45,11 @@
     socket.once('close', () => sockets.delete(socket))
     socket.on('data', (bytes: Buffer) => {
       text += bytes.toString('latin1')
-      for (let taken = takeRequest(text); taken !== undefined; taken = takeRequest(text)) {
-        text = taken.rest
-        const request = { ...taken.request, connection, socket, number: requests.length + 1 }
+      for (let parsed = parseRequest(text); parsed !== undefined; parsed = parseRequest(text)) {
+        text = parsed.rest
+        const request = { ...parsed.request, connection, socket, number: requests.length + 1 }
         requests.push(request)
-        answer(request)
+        respond(request)
       }
     })
   })
@@ -66,31 +66,31 @@
   }
 }
 
-type HeadOfRequest = Pick<ScriptedRequest, 'method' | 'path' | 'headers'>
+type RequestHead = Pick<ScriptedRequest, 'method' | 'path' | 'headers'>
 
-function takeRequest (text: string): { readonly request: HeadOfRequest, readonly rest: string } | undefined {
+function parseRequest (text: string): { readonly request: RequestHead, readonly rest: string } | undefined {
   const headEnd = text.indexOf('\r\n\r\n')
   if (headEnd < 0) return undefined
-  const [first = '', ...lines] = text.slice(0, headEnd).split('\r\n')
+  const [requestLine = '', ...lines] = text.slice(0, headEnd).split('\r\n')
   const headers = Object.fromEntries(lines.map((line) => [line.slice(0, line.indexOf(':')).toLowerCase(), line.slice(line.indexOf(':') + 1).trim()]))
   const end = headEnd + 4 + Number(headers['content-length'] ?? 0)
   if (text.length < end) return undefined
-  const [method = '', path = ''] = first.split(' ')
+  const [method = '', path = ''] = requestLine.split(' ')
   return { request: { method, path, headers }, rest: text.slice(end) }
 }
 
-/** Parts of an answer. */
-export interface ScriptedAnswer {
+/** Parts of a response. */
+export interface ScriptedResponse {
   readonly status?: number
-  /** Echoed id. */
+  /** Request id to echo; absent: none. */
   readonly id?: string
   readonly isSigned?: boolean
   readonly isNotRun?: boolean
   readonly body?: string
 }
 
-/** @returns bytes of an answer with a length */
-export function answerOf ({ body = '', id, isNotRun = false, isSigned = false, status = 200 }: ScriptedAnswer): string {
+/** Returns the bytes of a response with a Content-Length header. */
+export function formatResponse ({ body = '', id, isNotRun = false, isSigned = false, status = 200 }: ScriptedResponse): string {
   return [
     `HTTP/1.1 ${status} Scripted`,
     ...(id === undefined ? [] : [`X-Id: ${id}`]),
@@ -104,7 +104,7 @@
 
 const WRONG_REPLICA_STATUS = 421
 
-/** Speaks to a scripted replica: results, holds and reports are plain text. */
+/** Dialect of a scripted replica: results, holds and reports are plain text. */
 export const SCRIPTED_DIALECT: ReplicaDialect = {
   runHeaders: () => [],
   prefillHeaders: () => ['X-Prefill', 'yes'],
@@ -123,9 +123,9 @@
   stageOrder: ({ stage }) => ({ method: 'POST', path: '/order', headers: [], body: Buffer.from(stage) }),
   readOrderStatus: (status) => status === 200 ? 'holds_already' : status === 202 ? 'accepted' : 'unknown',
   report: { method: 'GET', path: '/report' },
-  readReport: (body) => Ok(reportOf(Number(body.toString())))
+  readReport: (body) => Ok(createReport(Number(body.toString())))
 }
 
-function reportOf (usedTokens: number): EngineReport {
+function createReport (usedTokens: number): EngineReport {
   return { stage: 'decode', usedTokens, capacityTokens: 20_000, queued: 0, active: usedTokens > 0 ? 1 : 0, isSwitching: false, isLeaving: false, runs: [] }
 }
--- a/packages/bendfall-edge/src/__tests__/unit/VirtualClock.ts
+++ b/packages/bendfall-edge/src/__tests__/unit/VirtualClock.ts
@@ -1,36 +1,36 @@
 import type { Clock } from 'bendfall-node'
 
-/** A clock that moves only when told, whatever the machine does meanwhile. */
+/** A clock that only advances when a test advances it, independently of real time. */
 export interface VirtualClock extends Clock {
-  /** Runs what falls due within a time, each at its moment. */
+  /** Advances the clock and runs the callbacks that become due, each at its scheduled time. */
   readonly advance: (ms: number) => Promise<void>
-  /** Moves the time of day alone, as a suspension of the machine does, or a step. */
+  /** Advances only the wall clock, as a suspension of the machine or a clock step does. */
   readonly suspend: (ms: number) => void
 }
 
-interface Due {
+interface Timer {
   readonly atMs: number
   readonly callback: () => void
 }
 
 const settle = (): Promise<void> => new Promise((resolve) => { setImmediate(resolve) })
 
-/** Makes a clock that stands at 0. */
+/** Creates a clock that starts at 0. */
 export function createVirtualClock (): VirtualClock {
-  const due = new Set<Due>()
+  const timers = new Set<Timer>()
   let now = 0
   let suspendedMs = 0
 
-  function nextBefore (endMs: number): Due | undefined {
-    const inTime = [...due].filter(({ atMs }) => atMs <= endMs)
-    return inTime.sort((a, b) => a.atMs - b.atMs)[0]
+  function nextTimerUntil (endMs: number): Timer | undefined {
+    const dueTimers = [...timers].filter(({ atMs }) => atMs <= endMs)
+    return dueTimers.sort((a, b) => a.atMs - b.atMs)[0]
   }
 
   async function advance (ms: number): Promise<void> {
     const endMs = now + ms
     await settle()
-    for (let next = nextBefore(endMs); next !== undefined; next = nextBefore(endMs)) {
-      due.delete(next)
+    for (let next = nextTimerUntil(endMs); next !== undefined; next = nextTimerUntil(endMs)) {
+      timers.delete(next)
       now = Math.max(now, next.atMs)
       next.callback()
       await settle()
@@ -42,9 +42,9 @@
     nowMs: () => now,
     wallMs: () => now + suspendedMs,
     callAt: (atMs, callback) => {
-      const one = { atMs, callback }
-      due.add(one)
-      return () => { due.delete(one) }
+      const timer = { atMs, callback }
+      timers.add(timer)
+      return () => { timers.delete(timer) }
     },
     suspend: (ms) => { suspendedMs += ms },
     advance
