--- a/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeAnswerEnd.test.ts
+++ b/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeAnswerEnd.test.ts
@@ -1,9 +1,10 @@
-// Guards against truncated responses that callers took for complete, as users observed: a replica writes part of a
-// close-delimited response and resets the connection, and the entry's busy event loop finds the
-// bytes and the reset in one poll. After a short read, a hang-up is reported as the end of the data
-// and never as an error, so the reset counted as an orderly close: with the poll forced as below,
-// 20 of 20 aborted responses counted as complete. Also, the end of a connection while reading was
-// paused for a slow caller terminated the process, which truncated all other responses with an orderly close.
+// Guards against truncated responses that look complete to callers, as users observed. A replica
+// writes part of a close-delimited response and resets the connection, and the entry's busy event
+// loop finds the bytes and the reset in one poll. After a short read, a hang-up is reported as the
+// end of the data and never as an error, so the reset counted as an orderly close: with the poll
+// forced as below, 20 of 20 aborted responses counted as complete. Also, the end of a connection
+// while reading was paused for a slow caller terminated the process, which truncated all other
+// responses with an orderly close.
 import { createServer } from 'node:net'
 import type { AddressInfo, Server, Socket } from 'node:net'
 import { setTimeout as sleep } from 'node:timers/promises'
--- a/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeCallerLeft.test.ts
+++ b/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeCallerLeft.test.ts
@@ -13,7 +13,7 @@
 
 const HEAD = 'POST /two HTTP/1.1\r\nHost: a\r\nContent-Length: '
 const FOLLOWING = {
-  'nothing more': '',
+  nothing: '',
   'part of a request head': 'GET /two HTTP/1.1\r\nHo',
   'part of a request body': `${HEAD}20\r\n\r\nx`,
   'a request of 200 KB': `${HEAD}200000\r\n\r\n${'x'.repeat(200_000)}`
@@ -23,7 +23,7 @@
 const MAX_NOTICE_MS = 500
 
 for (const [name, following] of Object.entries(FOLLOWING)) {
-  test(`the disconnect of a caller is noticed after it sent ${name}`, async () => {
+  test(`the disconnect of a caller is noticed if its request is followed by ${name}`, async () => {
     let isDisconnectNoticed = false
     let signalArrival = (): void => {}
     const hasArrived = new Promise<void>((resolve) => { signalArrival = resolve })
--- a/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeDirectoryDrill.test.ts
+++ b/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeDirectoryDrill.test.ts
@@ -1,31 +1,32 @@
-// The whole directory of an entry over drills in which the store comes back from an older copy:
-// replicas leave, start again and keep their registrations up; answers are slow, lost or of an
-// earlier era; drills follow one another. What reaches a replica that left is counted.
+// Checks that an entry's directory sends nothing to draining replicas while the store is repeatedly
+// restored from older backups. Replicas drain, restart and renew their registrations meanwhile, and
+// responses of the store are slow, lost or from an earlier era. Each send to a replica after its
+// drain time counts as a failure.
 import { drawUnit } from 'bendfall-core'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { DRAIN_MS, DrillEntry, DrillReplica, DrillStore, TICK_MS } from './DirectoryWorld.js'
+import { DRAIN_MS, SimulatedEntry, SimulatedReplica, SimulatedStore, TICK_MS } from './DirectoryWorld.js'
 import { createVirtualClock } from './VirtualClock.js'
 
 const STEP_MS = 50
-const PLAY_MS = 30_000
+const SIMULATION_MS = 30_000
 
-/** An entry is held to the drain time once the store and its way there were well for this long. */
-const CALM_MS = 1_000
+/** The drain time is checked only after the store and the connection to it have been healthy for this long. */
+const STABLE_MS = 1_000
 
-/** After this all that lives is known again: heartbeats, lapses and the read after them. */
-const SETTLED_MS = 10_000
+/** Time after which all running replicas must be known again: heartbeats, expiry and the subsequent read. */
+const RECOVERY_MS = 10_000
 
 const REPLICAS = ['a', 'b', 'c', 'd', 'e']
-const LEAST_LIVING = 3
+const MIN_RUNNING = 3
 const SEEDS = 40
 
-function countLiving (replicas: readonly DrillReplica[]): number {
+function countRunning (replicas: readonly SimulatedReplica[]): number {
   return replicas.filter(({ leftAtMs }) => leftAtMs === undefined).length
 }
 
-function createDraw (first: number): () => number {
-  let state = first
+function createRandom (initialSeed: number): () => number {
+  let state = initialSeed
   return () => {
     const { seed, value } = drawUnit(state)
     state = seed
@@ -33,57 +34,57 @@
   }
 }
 
-async function assertDrills (seed: number): Promise<void> {
-  const draw = createDraw(seed)
+async function simulateRestores (seed: number): Promise<void> {
+  const random = createRandom(seed)
   const clock = createVirtualClock()
-  const store = new DrillStore(clock)
-  const replicas = REPLICAS.map((id) => new DrillReplica(clock, store, id))
+  const store = new SimulatedStore(clock)
+  const replicas = REPLICAS.map((id) => new SimulatedReplica(clock, store, id))
   await clock.advance(1_500)
-  const entry = new DrillEntry(clock, store, seed)
+  const entry = new SimulatedEntry(clock, store, seed)
   await clock.advance(1_500)
-  const late: string[] = []
+  const lateSends: string[] = []
   let disturbedUntilMs = 0
-  let judged = 0
+  let checkedSends = 0
   const step = async (): Promise<void> => {
     const nowMs = clock.nowMs()
-    store.lapse()
-    if (store.isAway() || entry.way.latencyMs > 4) disturbedUntilMs = nowMs + STEP_MS
+    store.removeExpired()
+    if (store.isUnavailable() || entry.client.latencyMs > 4) disturbedUntilMs = nowMs + STEP_MS
     if (nowMs % TICK_MS < STEP_MS) entry.tick()
     entry.call()
-    for (const { atMs, replicaId } of entry.sends.slice(judged)) {
-      const leftAtMs = replicas.find((one) => one.replicaId === replicaId)?.leftAtMs
-      const dueMs = Math.max(leftAtMs ?? Infinity, disturbedUntilMs + CALM_MS) + DRAIN_MS
-      if (leftAtMs !== undefined && atMs > dueMs) late.push(`${replicaId} at ${atMs}, ${atMs - leftAtMs} ms after it left`)
+    for (const { atMs, replicaId } of entry.sends.slice(checkedSends)) {
+      const leftAtMs = replicas.find((replica) => replica.replicaId === replicaId)?.leftAtMs
+      const latestMs = Math.max(leftAtMs ?? Infinity, disturbedUntilMs + STABLE_MS) + DRAIN_MS
+      if (leftAtMs !== undefined && atMs > latestMs) lateSends.push(`${replicaId} at ${atMs}, ${atMs - leftAtMs} ms after it began to drain`)
     }
-    judged = entry.sends.length
+    checkedSends = entry.sends.length
     await clock.advance(STEP_MS)
   }
-  for (let atMs = 0; atMs < PLAY_MS; atMs += STEP_MS) {
-    if (draw() < 0.008) store.restore(draw() * 6_000, draw() * 1_500)
-    if (draw() < 0.02 && countLiving(replicas) > LEAST_LIVING) replicas[Math.floor(draw() * replicas.length)]?.leave()
-    if (draw() < 0.01) replicas[Math.floor(draw() * replicas.length)]?.start()
-    if (draw() < 0.01) entry.way.latencyMs = 4
-    if (draw() < 0.005) entry.way.latencyMs = draw() < 0.5 ? Infinity : 4 + draw() * 500
+  for (let atMs = 0; atMs < SIMULATION_MS; atMs += STEP_MS) {
+    if (random() < 0.008) store.restore(random() * 6_000, random() * 1_500)
+    if (random() < 0.02 && countRunning(replicas) > MIN_RUNNING) replicas[Math.floor(random() * replicas.length)]?.leave()
+    if (random() < 0.01) replicas[Math.floor(random() * replicas.length)]?.start()
+    if (random() < 0.01) entry.client.latencyMs = 4
+    if (random() < 0.005) entry.client.latencyMs = random() < 0.5 ? Infinity : 4 + random() * 500
     await step()
   }
-  entry.way.latencyMs = 4
-  for (let atMs = 0; atMs < SETTLED_MS; atMs += STEP_MS) await step()
-  const before = entry.sends.length
+  entry.client.latencyMs = 4
+  for (let atMs = 0; atMs < RECOVERY_MS; atMs += STEP_MS) await step()
+  const sendsBefore = entry.sends.length
   for (let atMs = 0; atMs < 2_000; atMs += STEP_MS) await step()
-  const used = [...new Set(entry.sends.slice(before).map(({ replicaId }) => replicaId))].sort()
-  const living = replicas.filter(({ leftAtMs }) => leftAtMs === undefined).map(({ replicaId }) => replicaId)
+  const usedIds = [...new Set(entry.sends.slice(sendsBefore).map(({ replicaId }) => replicaId))].sort()
+  const running = replicas.filter(({ leftAtMs }) => leftAtMs === undefined).map(({ replicaId }) => replicaId)
   entry.close()
-  assert.equal(late, [])
-  assert.equal(used, living)
+  assert.equal(lateSends, [])
+  assert.equal(usedIds, running)
 }
 
 for (let seed = 1; seed <= SEEDS; seed++) {
-  test(`no replica that left comes back by an older word, and all that lives is used again (seed ${seed})`, async () => { await assertDrills(seed) })
+  test(`a draining replica is not used again because of a restored registration, and all running replicas are (seed ${seed})`, async () => { await simulateRestores(seed) })
 }
 
-// In the second seed the entry hears of the era late.
+// With the second seed the entry learns of the new era late.
 for (const seed of [282, 587]) {
-  test(`a replica that left while the entry was cut off does not come back by the copy of a drill (seed ${seed})`, async () => { await assertDrills(seed) })
+  test(`a replica that drained while the entry was disconnected is not used again because of a restored backup (seed ${seed})`, async () => { await simulateRestores(seed) })
 }
 
 test.run()
--- a/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeEra.test.ts
+++ b/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeEra.test.ts
@@ -11,7 +11,7 @@
 const SILENT = createLogger({ level: 'error', write: () => {} })
 const STEP_MS = 20
 
-/** Numbers from 0 to 1 that a seed repeats (mulberry32). */
+/** Creates a seeded pseudo-random generator of numbers from 0 to 1 (mulberry32). */
 function createRandom (seed: number): { readonly next: () => number } {
   let state = seed
   return {
@@ -24,71 +24,71 @@
   }
 }
 
-interface Process {
-  readonly way: ReturnType<EraStore['join']>
+interface Candidate {
+  readonly client: ReturnType<EraStore['join']>
   readonly lease: LeaderElection
 }
 
-function start (clock: VirtualClock, store: EraStore, count: number): Process[] {
+function startCandidates (clock: VirtualClock, store: EraStore, count: number): Candidate[] {
   return Array.from({ length: count }, (_, index) => {
-    const way = store.join()
-    return { way, lease: joinElection({ port: way.port, clock, logger: SILENT, key: 'duty', holder: `p${index}` }) }
+    const client = store.join()
+    return { client, lease: joinElection({ port: client.port, clock, logger: SILENT, key: 'duty', holder: `p${index}` }) }
   })
 }
 
-test('a holder that hears of a new era stops at once, and nobody takes the duty within the length of a lease', async () => {
+test('a leader that learns of a new era stops at once, and no process is elected for the duration of a lease', async () => {
   const clock = createVirtualClock()
   const store = createEraStore(clock)
-  const [process] = start(clock, store, 1) as [Process]
+  const [candidate] = startCandidates(clock, store, 1) as [Candidate]
   await clock.advance(12_000)
-  const former = process.lease.fence() ?? 0
-  assert.ok(former > 0)
+  const previousToken = candidate.lease.fence() ?? 0
+  assert.ok(previousToken > 0)
   store.restore()
   await clock.advance(1_000)
-  assert.is(process.lease.fence(), undefined)
+  assert.is(candidate.lease.fence(), undefined)
   await clock.advance(1_900)
-  assert.is(process.lease.fence(), undefined)
+  assert.is(candidate.lease.fence(), undefined)
   await clock.advance(12_000)
-  assert.ok((process.lease.fence() ?? 0) > former)
-  process.lease.close()
+  assert.ok((candidate.lease.fence() ?? 0) > previousToken)
+  candidate.lease.close()
 })
 
-test('a holder that was fenced takes the duty anew with a higher fencing token', async () => {
+test('a leader that was fenced is re-elected with a higher fencing token', async () => {
   const clock = createVirtualClock()
   const store = createEraStore(clock)
-  const [process] = start(clock, store, 1) as [Process]
+  const [candidate] = startCandidates(clock, store, 1) as [Candidate]
   await clock.advance(12_000)
-  const former = process.lease.fence() ?? 0
-  process.lease.stepDown()
-  assert.is(process.lease.fence(), undefined)
+  const previousToken = candidate.lease.fence() ?? 0
+  candidate.lease.stepDown()
+  assert.is(candidate.lease.fence(), undefined)
   await clock.advance(6_000)
-  assert.ok((process.lease.fence() ?? 0) > former)
-  process.lease.close()
+  assert.ok((candidate.lease.fence() ?? 0) > previousToken)
+  candidate.lease.close()
 })
 
-// After the loss of all entries nobody kept the allotments for the five seconds in which each that
-// started waited for a holder of a former era, and every request of a customer was refused meanwhile.
-test('a process that starts takes a free duty at once in an era that has lasted', async () => {
+// After the loss of all entries there was no leader of the allotments for five seconds, in which each
+// starting process waited for a leader of a previous era, and all customer requests were refused.
+test('a starting process is elected at once if it is recorded that the era has lasted for the length of a lease', async () => {
   const clock = createVirtualClock()
   const store = createEraStore(clock)
-  const [first] = start(clock, store, 1) as [Process]
+  const [first] = startCandidates(clock, store, 1) as [Candidate]
   await clock.advance(12_000)
   first.lease.close()
   await clock.advance(100)
-  const [second] = start(clock, store, 1) as [Process]
+  const [second] = startCandidates(clock, store, 1) as [Candidate]
   await clock.advance(100)
   assert.ok(second.lease.fence() !== undefined)
   second.lease.close()
 })
 
-test('a process that starts waits in an era of which nobody wrote that it has lasted', async () => {
+test('a starting process waits if it is not recorded that the era has lasted for the length of a lease', async () => {
   const clock = createVirtualClock()
   const store = createEraStore(clock)
-  const [first] = start(clock, store, 1) as [Process]
+  const [first] = startCandidates(clock, store, 1) as [Candidate]
   await clock.advance(12_000)
   first.lease.close()
   store.restore()
-  const [second] = start(clock, store, 1) as [Process]
+  const [second] = startCandidates(clock, store, 1) as [Candidate]
   await clock.advance(2_900)
   assert.is(second.lease.fence(), undefined)
   await clock.advance(6_000)
@@ -96,47 +96,49 @@
   second.lease.close()
 })
 
-// A former holder that hears nothing beside processes that start: eras, silence and starts at each step.
+// A previous leader that receives no responses competes with starting processes. Each step may begin
+// a new era, slow down or block responses, or start or stop a process.
 for (let seed = 101; seed <= 160; seed++) {
-  test(`no two processes hold the duty while others start (seed ${seed})`, async () => {
+  test(`at most one process is the leader while others start (seed ${seed})`, async () => {
     const random = createRandom(seed)
     const clock = createVirtualClock()
     const store = createEraStore(clock)
-    const processes = start(clock, store, 2)
+    const candidates = startCandidates(clock, store, 2)
     for (let atMs = 0; atMs < 40_000; atMs += STEP_MS) {
       if (random.next() < 0.005) store.restore()
-      if (random.next() < 0.02) for (const { way } of processes) way.latencyMs = 4
-      if (random.next() < 0.02) (processes[Math.floor(random.next() * processes.length)] as Process).way.latencyMs = random.next() < 0.5 ? Infinity : 4 + random.next() * 1_500
-      if (random.next() < 0.02) processes.push(...start(clock, store, 1))
-      if (random.next() < 0.02 && processes.length > 1) processes.splice(Math.floor(random.next() * processes.length), 1)[0]?.lease.close()
+      if (random.next() < 0.02) for (const { client } of candidates) client.latencyMs = 4
+      if (random.next() < 0.02) (candidates[Math.floor(random.next() * candidates.length)] as Candidate).client.latencyMs = random.next() < 0.5 ? Infinity : 4 + random.next() * 1_500
+      if (random.next() < 0.02) candidates.push(...startCandidates(clock, store, 1))
+      if (random.next() < 0.02 && candidates.length > 1) candidates.splice(Math.floor(random.next() * candidates.length), 1)[0]?.lease.close()
       await clock.advance(STEP_MS)
-      const fences = processes.flatMap(({ lease }) => lease.fence() ?? [])
-      assert.ok(fences.length <= 1, `two holders at ${atMs} ms`)
+      const tokens = candidates.flatMap(({ lease }) => lease.fence() ?? [])
+      assert.ok(tokens.length <= 1, `two leaders at ${atMs} ms`)
     }
-    for (const { lease } of processes) lease.close()
+    for (const { lease } of candidates) lease.close()
   })
 }
 
-// Orders of eras, slow and lost answers over 40 s, at each step: who may act, and with which token.
+// Runs 40 s with random sequences of eras and of slow or lost responses, and checks at each step which
+// process may act and with which token.
 for (let seed = 1; seed <= 60; seed++) {
-  test(`no two processes hold the duty at one moment, and tokens only rise (seed ${seed})`, async () => {
+  test(`at most one process is the leader at a time, and fencing tokens never decrease (seed ${seed})`, async () => {
     const random = createRandom(seed)
     const clock = createVirtualClock()
     const store = createEraStore(clock)
-    const processes = start(clock, store, 2 + seed % 3)
-    let last = 0
+    const candidates = startCandidates(clock, store, 2 + seed % 3)
+    let lastToken = 0
     for (let atMs = 0; atMs < 40_000; atMs += STEP_MS) {
       if (random.next() < 0.004) store.restore()
-      if (random.next() < 0.01) for (const { way } of processes) way.latencyMs = 4
-      if (random.next() < 0.01) (processes[Math.floor(random.next() * processes.length)] as Process).way.latencyMs = random.next() < 0.5 ? Infinity : 4 + random.next() * 1_500
+      if (random.next() < 0.01) for (const { client } of candidates) client.latencyMs = 4
+      if (random.next() < 0.01) (candidates[Math.floor(random.next() * candidates.length)] as Candidate).client.latencyMs = random.next() < 0.5 ? Infinity : 4 + random.next() * 1_500
       await clock.advance(STEP_MS)
-      const fences = processes.flatMap(({ lease }) => lease.fence() ?? [])
-      assert.ok(fences.length <= 1, `two holders at ${atMs} ms`)
-      const [fence = last] = fences
-      assert.ok(fence >= last, `token ${fence} after ${last} at ${atMs} ms`)
-      last = fence
+      const tokens = candidates.flatMap(({ lease }) => lease.fence() ?? [])
+      assert.ok(tokens.length <= 1, `two leaders at ${atMs} ms`)
+      const [token = lastToken] = tokens
+      assert.ok(token >= lastToken, `token ${token} after ${lastToken} at ${atMs} ms`)
+      lastToken = token
     }
-    for (const { lease } of processes) lease.close()
+    for (const { lease } of candidates) lease.close()
   })
 }
 
--- a/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeGivenBack.test.ts
+++ b/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeGivenBack.test.ts
@@ -1,5 +1,5 @@
-// Of an answer without a length whose reset is found with its last bytes the connection is
-// never given back: its pool keeps the client until the replica is gone.
+// Guards against connections that are never released. After a close-delimited response whose reset
+// was found together with its last bytes, the pool kept the client until the replica was gone.
 import { createServer } from 'node:net'
 import type { AddressInfo } from 'node:net'
 import { test } from 'uvu'
@@ -8,7 +8,7 @@
 import { createConnectionPool } from '../../replica/BendfallEdgeConnections.js'
 import { startReplicaCall } from '../../replica/BendfallEdgeReplicaCall.js'
 
-test('a connection is given back after a reset that was found with the last bytes', async () => {
+test('a connection is released after a reset that was found together with the last bytes', async () => {
   const server = createServer({ pauseOnConnect: true }, (socket) => {
     socket.on('error', () => {})
     setTimeout(() => {
@@ -18,17 +18,17 @@
   })
   await new Promise<void>((resolve) => { server.listen(0, '127.0.0.71', resolve) })
   const pool = createConnectionPool(`127.0.0.71:${(server.address() as AddressInfo).port}`, () => {})
-  const givenBack: Connection[] = []
-  const watched = { ...pool, release: (connection: Connection) => { givenBack.push(connection); pool.release(connection) } }
+  const released: Connection[] = []
+  const observedPool = { ...pool, release: (connection: Connection) => { released.push(connection); pool.release(connection) } }
   const outcome = await new Promise((resolve) => {
-    startReplicaCall(watched, { method: 'GET', path: '/', headers: [], requestId: 'r-1' }, { onHead: () => {}, onChunk: () => {}, onEnd: () => resolve('end'), onFail: () => resolve('fail') })
+    startReplicaCall(observedPool, { method: 'GET', path: '/', headers: [], requestId: 'r-1' }, { onHead: () => {}, onChunk: () => {}, onEnd: () => resolve('end'), onFail: () => resolve('fail') })
     setTimeout(() => { const untilMs = performance.now() + 60; while (performance.now() < untilMs); }, 10)
   })
   await new Promise((resolve) => setTimeout(resolve, 50))
   pool.destroy()
   server.close()
   assert.is(outcome, 'fail')
-  assert.is(givenBack.length, 1)
+  assert.is(released.length, 1)
 })
 
 test.run()
--- a/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeHolderLease.test.ts
+++ b/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeHolderLease.test.ts
@@ -11,53 +11,53 @@
 const KEY = 'duty'
 const SILENT = createLogger({ level: 'error', write: () => {} })
 
-interface Scene {
+interface FakeStore {
   readonly port: KeyValuePort
   entry: KeyValueEntry | undefined
   renewals: LeaseOutcome[]
-  writeAnswer: WriteOutcome['type']
+  writeOutcome: WriteOutcome['type']
 }
 
-/** A service that holds one key. */
-function createScene (): Scene {
+/** Creates a key-value service that stores a single key. */
+function createFakeStore (): FakeStore {
   let revision = 7
   let nextLease = 1
-  const scene: Scene = { port: {} as KeyValuePort, entry: undefined, renewals: [], writeAnswer: 'applied' }
+  const store: FakeStore = { port: {} as KeyValuePort, entry: undefined, renewals: [], writeOutcome: 'applied' }
   const granted = (leaseId: string): LeaseOutcome => ({ type: 'granted', leaseId, ttlMs: 3_000 })
   const port: Partial<KeyValuePort> = {
-    get: async () => scene.entry === undefined ? { type: 'missing', storeRevision: revision } : { type: 'found', entry: scene.entry },
+    get: async () => store.entry === undefined ? { type: 'missing', storeRevision: revision } : { type: 'found', entry: store.entry },
     grantLease: async () => granted(String(nextLease++)),
-    renewLease: async (leaseId) => scene.renewals.shift() ?? granted(leaseId),
+    renewLease: async (leaseId) => store.renewals.shift() ?? granted(leaseId),
     revokeLease: async (leaseId) => {
-      if (scene.entry?.leaseId === leaseId) scene.entry = undefined
+      if (store.entry?.leaseId === leaseId) store.entry = undefined
       return granted(leaseId)
     },
     compareAndSwap: async ({ key, leaseId, value }) => {
-      if (scene.entry !== undefined) return { type: 'conflict', currentRevision: scene.entry.revision }
+      if (store.entry !== undefined) return { type: 'conflict', currentRevision: store.entry.revision }
       revision += 1
-      scene.entry = { key, value: value ?? '', revision, leaseId }
-      return scene.writeAnswer === 'unknown' ? { type: 'unknown', detail: 'answer lost' } : { type: 'applied', revision }
+      store.entry = { key, value: value ?? '', revision, leaseId }
+      return store.writeOutcome === 'unknown' ? { type: 'unknown', detail: 'answer lost' } : { type: 'applied', revision }
     }
   }
-  return Object.assign(scene, { port: port as KeyValuePort })
+  return Object.assign(store, { port: port as KeyValuePort })
 }
 
-/** Runs fifty times as fast as real time. */
+/** Creates a clock that runs 50 times as fast as real time. */
 function createFastClock (): Clock {
   const real = createSystemClock()
   const SPEED = 50
   return { nowMs: () => real.nowMs() * SPEED, wallMs: real.wallMs, callAt: (atMs, callback) => real.callAt(atMs / SPEED, callback) }
 }
 
-function join ({ port }: Scene, holder: string, clock: Clock = createFastClock()): LeaderElection {
+function joinAs ({ port }: FakeStore, holder: string, clock: Clock = createFastClock()): LeaderElection {
   return joinElection({ port, clock, logger: SILENT, key: KEY, holder })
 }
 
-test('one of two holds the duty; its fencing token is the revision of its key', async () => {
-  const scene = createScene()
-  const first = join(scene, 'a')
+test('one of two processes is elected; its fencing token is the revision of its key', async () => {
+  const store = createFakeStore()
+  const first = joinAs(store, 'a')
   await sleep(10)
-  const second = join(scene, 'b')
+  const second = joinAs(store, 'b')
   await sleep(30)
   assert.is(first.fence(), 8)
   assert.is(second.fence(), undefined)
@@ -65,11 +65,11 @@
   second.close()
 })
 
-test('the duty passes on with a higher fencing token', async () => {
-  const scene = createScene()
-  const first = join(scene, 'a')
+test('the next leader has a higher fencing token', async () => {
+  const store = createFakeStore()
+  const first = joinAs(store, 'a')
   await sleep(10)
-  const second = join(scene, 'b')
+  const second = joinAs(store, 'b')
   first.close()
   await sleep(600)
   assert.is(first.fence(), undefined)
@@ -77,90 +77,90 @@
   second.close()
 })
 
-test('a write whose answer was lost is read back', async () => {
-  const scene = createScene()
-  scene.writeAnswer = 'unknown'
-  const lease = join(scene, 'a')
+test('a write whose response was lost is verified by a read', async () => {
+  const store = createFakeStore()
+  store.writeOutcome = 'unknown'
+  const election = joinAs(store, 'a')
   await sleep(10)
-  assert.is(lease.fence(), 8)
-  lease.close()
+  assert.is(election.fence(), 8)
+  election.close()
 })
 
-test('a lease that lapsed ends the duty', async () => {
-  const scene = createScene()
-  const lease = join(scene, 'a')
+test('a leader whose lease lapsed stops', async () => {
+  const store = createFakeStore()
+  const election = joinAs(store, 'a')
   await sleep(10)
-  scene.renewals = [{ type: 'lapsed' }]
-  scene.entry = { key: KEY, value: 'b', revision: 20, leaseId: '99' }
+  store.renewals = [{ type: 'lapsed' }]
+  store.entry = { key: KEY, value: 'b', revision: 20, leaseId: '99' }
   await sleep(60)
-  assert.is(lease.fence(), undefined)
-  lease.close()
+  assert.is(election.fence(), undefined)
+  election.close()
 })
 
-// In virtual time: beside a load of 31 on 16 cores 15 ms of a clock that runs fifty times as
-// fast as real time took longer than the lease.
-test('a service that does not answer ends the duty before the lease could lapse', async () => {
-  const scene = createScene()
+// Uses virtual time: at a load average of 31 on 16 cores, 15 ms on the clock that runs 50 times as fast
+// as real time took longer than the lease.
+test('a leader without responses from the service stops before its lease could lapse', async () => {
+  const store = createFakeStore()
   const clock = createVirtualClock()
-  const lease = join(scene, 'a', clock)
+  const election = joinAs(store, 'a', clock)
   await clock.advance(500)
-  scene.renewals = Array.from({ length: 10 }, () => ({ type: 'unavailable', detail: 'down' }))
+  store.renewals = Array.from({ length: 10 }, () => ({ type: 'unavailable', detail: 'down' }))
   await clock.advance(750)
-  assert.is(lease.fence(), 8)
+  assert.is(election.fence(), 8)
   await clock.advance(1_750)
-  assert.is(lease.fence(), undefined)
-  lease.close()
+  assert.is(election.fence(), undefined)
+  election.close()
 })
 
-test('a holder that was fenced gives up at once', async () => {
-  const scene = createScene()
-  const lease = join(scene, 'a')
+test('a leader that was fenced steps down at once', async () => {
+  const store = createFakeStore()
+  const election = joinAs(store, 'a')
   await sleep(10)
-  lease.stepDown()
-  assert.is(lease.fence(), undefined)
-  lease.close()
+  election.stepDown()
+  assert.is(election.fence(), undefined)
+  election.close()
 })
 
-// Of 68 processes each looked every 2.5 s before: 27 calls a second.
-test('a process looks less often while another one holds the duty, and takes it when that one ends', async () => {
-  const scene = createScene()
-  const holder = join(scene, 'a')
+// Before the interval was doubled, each of 68 processes checked every 2.5 s, which made 27 calls per second.
+test('a candidate checks less often while another process is the leader, and is elected after that one resigns', async () => {
+  const store = createFakeStore()
+  const leader = joinAs(store, 'a')
   await sleep(10)
-  let looks = 0
-  const { get } = scene.port
-  const counted = { ...scene.port, get: (...args: Parameters<typeof get>) => { looks += 1; return get(...args) } }
-  const waiting = join({ ...scene, port: counted }, 'b')
+  let checks = 0
+  const { get } = store.port
+  const countingPort = { ...store.port, get: (...args: Parameters<typeof get>) => { checks += 1; return get(...args) } }
+  const candidate = joinAs({ ...store, port: countingPort }, 'b')
   await sleep(1_200)
-  assert.ok(looks <= 12, `${looks} looks in 60 s`)
-  holder.close()
+  assert.ok(checks <= 12, `${checks} checks in 60 s`)
+  leader.close()
   await sleep(500)
-  assert.ok(waiting.fence() !== undefined)
-  waiting.close()
+  assert.ok(candidate.fence() !== undefined)
+  candidate.close()
 })
 
-test('a holder that was suspended beyond its lease does not act before it has renewed it', async () => {
-  const scene = createScene()
+test('a leader that was suspended for longer than its lease does not act before it has renewed the lease', async () => {
+  const store = createFakeStore()
   const clock = createVirtualClock()
-  const lease = join(scene, 'a', clock)
+  const election = joinAs(store, 'a', clock)
   await clock.advance(10)
-  assert.is(lease.fence(), 8)
+  assert.is(election.fence(), 8)
   clock.suspend(4_000)
-  assert.is(lease.fence(), undefined)
-  scene.renewals.push({ type: 'lapsed' })
+  assert.is(election.fence(), undefined)
+  store.renewals.push({ type: 'lapsed' })
   await clock.advance(1_000)
-  assert.is(lease.fence(), undefined)
-  lease.close()
+  assert.is(election.fence(), undefined)
+  election.close()
 })
 
-test('a holder whose time of day was set ahead goes on once it has renewed its lease', async () => {
-  const scene = createScene()
+test('a leader whose wall clock was set forward acts again once it has renewed its lease', async () => {
+  const store = createFakeStore()
   const clock = createVirtualClock()
-  const lease = join(scene, 'a', clock)
+  const election = joinAs(store, 'a', clock)
   await clock.advance(10)
   clock.suspend(60_000)
   await clock.advance(1_000)
-  assert.is(lease.fence(), 8)
-  lease.close()
+  assert.is(election.fence(), 8)
+  election.close()
 })
 
 test.run()
--- a/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeOwnCalls.test.ts
+++ b/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeOwnCalls.test.ts
@@ -1,7 +1,7 @@
-// Calls that the router makes for itself bear no id that comes back. A second answer
-// that came late on a shared connection was read as a hold of another request, as a
-// refusal, or as an order that holds already; the answer of a hold met the run behind
-// it. Evidence: before the mend each test below read the answer to another call.
+// Guards against control calls that receive the response to another call. Responses to control calls
+// echo no request id. A late duplicate on a shared connection was read as the hold of another request,
+// as a refusal, or as an order that is already in force, and the response to a hold was read by the
+// run sent after it. Before the fix, each test below read the response to another call.
 import { setTimeout as sleep } from 'node:timers/promises'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
@@ -10,53 +10,53 @@
 import type { LedgerEffect, LedgerEvent, LedgerState } from 'bendfall-router'
 import { startReportPolling } from '../../ledger/BendfallEdgeReports.js'
 import { registerPools } from '../../pools/BendfallEdgePools.js'
-import { beforeReplica } from './ReplicaScene.js'
-import type { ReplicaScene } from './ReplicaScene.js'
-import { answerOf, SCRIPTED_DIALECT, startScriptedReplica } from './ScriptedReplica.js'
+import { withReplicaHarness } from './ReplicaScene.js'
+import type { ReplicaHarness } from './ReplicaScene.js'
+import { formatResponse, SCRIPTED_DIALECT, startScriptedReplica } from './ScriptedReplica.js'
 import type { ScriptedRequest } from './ScriptedReplica.js'
 
 const IDLE_MS = 40
 const SILENT = createLogger({ level: 'error', write: () => {} })
 
-/** Answers each request, after the answers to all earlier ones of its connection have come a second time. */
-function withDoubles (answer: (request: ScriptedRequest) => string): (request: ScriptedRequest) => void {
+/** Responds to each request after repeating the responses to all earlier requests on its connection. */
+function withDuplicates (respond: (request: ScriptedRequest) => string): (request: ScriptedRequest) => void {
   const earlier = new Map<number, string>()
   return (request) => {
-    const double = earlier.get(request.connection) ?? ''
-    const own = answer(request)
-    earlier.set(request.connection, double + own)
-    request.socket.write(double + own)
+    const duplicates = earlier.get(request.connection) ?? ''
+    const response = respond(request)
+    earlier.set(request.connection, duplicates + response)
+    request.socket.write(duplicates + response)
   }
 }
 
-function ownAnswer ({ headers, number, path }: ScriptedRequest): string {
+function createResponse ({ headers, number, path }: ScriptedRequest): string {
   const id = headers['x-id']
-  if (path === '/hold') return answerOf({ body: `hold-${number}` })
-  if (path === '/order') return answerOf({ status: number === 1 ? 200 : 202 })
-  if (path === '/report') return answerOf({ body: String(number) })
-  return answerOf({ id, isSigned: true, body: `answer to ${id}` })
+  if (path === '/hold') return formatResponse({ body: `hold-${number}` })
+  if (path === '/order') return formatResponse({ status: number === 1 ? 200 : 202 })
+  if (path === '/report') return formatResponse({ body: String(number) })
+  return formatResponse({ id, isSigned: true, body: `answer to ${id}` })
 }
 
-const inTurn = async (steps: ReadonlyArray<() => unknown>): Promise<void> => {
+const runSequentially = async (steps: ReadonlyArray<() => unknown>): Promise<void> => {
   for (const step of steps) {
     await step()
     await sleep(IDLE_MS)
   }
 }
 
-const order = ({ carryOut, replica }: ReplicaScene): void => carryOut({ type: 'order_stage', replicaId: 'i-1', address: replica.address, stage: 'prefill', fence: 1 })
+const orderStage = ({ execute, replica }: ReplicaHarness): void => execute({ type: 'order_stage', replicaId: 'i-1', address: replica.address, stage: 'prefill', fence: 1 })
 
-test('a hold is not the hold of another request', async () => {
-  await beforeReplica(withDoubles(ownAnswer), async ({ hold }) => {
+test('a request does not receive the hold of another request', async () => {
+  await withReplicaHarness(withDuplicates(createResponse), async ({ hold }) => {
     assert.equal((await hold('a')).outcome, { type: 'held', holdId: 'hold-1' })
     await sleep(IDLE_MS)
     assert.equal((await hold('b')).outcome, { type: 'held', holdId: 'hold-2' })
   })
 })
 
-test('a hold is not refused by the answer to a prefill', async () => {
-  const answer = (request: ScriptedRequest): string => request.path === '/hold' ? ownAnswer(request) : answerOf({ id: request.headers['x-id'], status: 503, isNotRun: true })
-  await beforeReplica(withDoubles(answer), async ({ hold, prefill }) => {
+test('a hold is not refused by the response to a prefill', async () => {
+  const respond = (request: ScriptedRequest): string => request.path === '/hold' ? createResponse(request) : formatResponse({ id: request.headers['x-id'], status: 503, isNotRun: true })
+  await withReplicaHarness(withDuplicates(respond), async ({ hold, prefill }) => {
     await prefill('a')
     await sleep(IDLE_MS)
     assert.equal((await hold('b')).outcome, { type: 'held', holdId: 'hold-2' })
@@ -64,19 +64,19 @@
 })
 
 for (const [what, unanswered, effectOf] of [
-  ['a hold that is given back', 'a hold that is given back and is never answered keeps no connection', ({ address }: ReplicaScene['replica']) => ({ type: 'drop_hold', address, holdId: 'h' })],
-  ['a handle that is freed', 'a handle that is freed and is never answered keeps no connection', ({ address }: ReplicaScene['replica']) => ({ type: 'free_handle', address, handle: 'h' })]
+  ['dropping a hold', 'a hold that is given back and is never answered keeps no connection', ({ address }: ReplicaHarness['replica']) => ({ type: 'drop_hold', address, holdId: 'h' })],
+  ['freeing a handle', 'a handle that is freed and is never answered keeps no connection', ({ address }: ReplicaHarness['replica']) => ({ type: 'free_handle', address, handle: 'h' })]
 ] as const) {
-  test(`${what} disturbs no run behind it`, async () => {
-    await beforeReplica(withDoubles(ownAnswer), async ({ carryOut, delivered, replica, run }) => {
-      await inTurn([() => carryOut(effectOf(replica) as Parameters<typeof carryOut>[0]), () => run('a')])
+  test(`${what} does not affect the next run`, async () => {
+    await withReplicaHarness(withDuplicates(createResponse), async ({ execute, delivered, replica, run }) => {
+      await runSequentially([() => execute(effectOf(replica) as Parameters<typeof execute>[0]), () => run('a')])
       assert.is(delivered.get('a')?.body.toString(), 'answer to a')
     })
   })
 
   test(unanswered, async () => {
-    await beforeReplica(() => {}, async ({ carryOut, replica }) => {
-      carryOut(effectOf(replica) as Parameters<typeof carryOut>[0])
+    await withReplicaHarness(() => {}, async ({ execute, replica }) => {
+      execute(effectOf(replica) as Parameters<typeof execute>[0])
       await sleep(IDLE_MS)
       assert.is(replica.open(), 1)
       await sleep(1_200)
@@ -85,40 +85,40 @@
   })
 }
 
-test('calls of the router itself leave no connection behind', async () => {
-  await beforeReplica(withDoubles(ownAnswer), async (scene) => {
-    await inTurn([() => scene.hold('a'), () => scene.carryOut({ type: 'drop_hold', address: scene.replica.address, holdId: 'h' }), () => scene.carryOut({ type: 'free_handle', address: scene.replica.address, handle: 'h' })])
-    assert.is(scene.replica.connections(), 3)
-    assert.is(scene.replica.open(), 0)
+test('control calls leave no connection open', async () => {
+  await withReplicaHarness(withDuplicates(createResponse), async (harness) => {
+    await runSequentially([() => harness.hold('a'), () => harness.execute({ type: 'drop_hold', address: harness.replica.address, holdId: 'h' }), () => harness.execute({ type: 'free_handle', address: harness.replica.address, handle: 'h' })])
+    assert.is(harness.replica.connections(), 3)
+    assert.is(harness.replica.open(), 0)
   })
 })
 
-test('an order does not take the answer to an earlier one', async () => {
-  await beforeReplica(withDoubles(ownAnswer), async (scene) => {
+test('an order does not receive the response to an earlier one', async () => {
+  await withReplicaHarness(withDuplicates(createResponse), async (harness) => {
     const port = { get: () => new Promise(() => {}), grantLease: () => new Promise(() => {}) } as unknown as KeyValuePort
-    const close = registerPools({ loop: scene.loop, port, dialect: SCRIPTED_DIALECT, logger: SILENT, instanceId: 'e-1', poolOf: scene.pools.get, hasLimit: () => false })
-    order(scene)
-    await scene.next('order_answered', () => true)
+    const close = registerPools({ loop: harness.loop, port, dialect: SCRIPTED_DIALECT, logger: SILENT, instanceId: 'e-1', poolOf: harness.pools.get, hasLimit: () => false })
+    orderStage(harness)
+    await harness.waitForEvent('order_answered', () => true)
     await sleep(IDLE_MS)
-    order(scene)
+    orderStage(harness)
     await sleep(IDLE_MS)
-    assert.equal(scene.events.filter(({ type }) => type === 'order_answered').map((event) => (event as { readonly outcome?: string }).outcome), ['holds_already', 'accepted'])
+    assert.equal(harness.events.filter(({ type }) => type === 'order_answered').map((event) => (event as { readonly outcome?: string }).outcome), ['holds_already', 'accepted'])
     await close()
   })
 })
 
-interface ReportScene {
+interface PollOutcome {
   readonly connections: () => number
-  /** Reports that were told of one by one, with the time from the question to the request that was answered. */
-  readonly told: ReadonlyArray<{ readonly usedTokens: number, readonly arrivedAfterMs: number }>
+  /** Reports in order, each with the time from the start of its poll to the arrival of the request that it responds to. */
+  readonly reports: ReadonlyArray<{ readonly usedTokens: number, readonly arrivedAfterMs: number }>
 }
 
-/** Follows a replica for half a dozen reports. */
-async function followReplica (answer: (request: ScriptedRequest) => string, confirms: readonly object[] = [], isTwice = true): Promise<ReportScene> {
+/** Polls the reports of a replica about six times. */
+async function pollReplica (respond: (request: ScriptedRequest) => string, confirms: readonly object[] = [], isDuplicated = true): Promise<PollOutcome> {
   const clock = createSystemClock()
   const arrivedAtMs = new Map<number, number>()
-  const told: Array<ReportScene['told'][number]> = []
-  const send = isTwice ? withDoubles(answer) : (request: ScriptedRequest): void => { request.socket.write(answer(request)) }
+  const reports: Array<PollOutcome['reports'][number]> = []
+  const send = isDuplicated ? withDuplicates(respond) : (request: ScriptedRequest): void => { request.socket.write(respond(request)) }
   const replica = await startScriptedReplica((request) => {
     arrivedAtMs.set(request.number, clock.nowMs())
     send(request)
@@ -126,38 +126,38 @@
   const loop = createUpdateLoop<LedgerEvent, LedgerEffect>((event) => {
     if (event.type !== 'report_read') return []
     const { usedTokens } = event.report
-    told.push({ usedTokens, arrivedAfterMs: (arrivedAtMs.get(usedTokens) ?? 0) - event.askedAtMs })
+    reports.push({ usedTokens, arrivedAfterMs: (arrivedAtMs.get(usedTokens) ?? 0) - event.askedAtMs })
     return []
   }, clock)
   const bookings = new Map(confirms.map((confirm, index) => [String(index), { confirm }]))
   const state = { bookings, waiting: [], lastRuns: new Map() } as unknown as LedgerState
-  const reports = startReportPolling({ replicaAddress: replica.address, dialect: SCRIPTED_DIALECT, clock, logger: SILENT, loop, state: () => state })
+  const poller = startReportPolling({ replicaAddress: replica.address, dialect: SCRIPTED_DIALECT, clock, logger: SILENT, loop, state: () => state })
   for (let i = 0; i < 6; i++) {
     await sleep(IDLE_MS)
-    reports.wanted()
+    poller.wanted()
   }
   await sleep(IDLE_MS)
-  await reports.close()
+  await poller.close()
   replica.close()
-  return { connections: replica.connections, told }
+  return { connections: replica.connections, reports }
 }
 
 test('a report tells of no time before it was asked for', async () => {
-  const { told } = await followReplica(ownAnswer)
-  assert.ok(told.length >= 5)
-  for (const { arrivedAfterMs, usedTokens } of told) assert.ok(arrivedAfterMs >= 0, `report ${usedTokens} is ${-arrivedAfterMs} ms older than its question`)
+  const { reports } = await pollReplica(createResponse)
+  assert.ok(reports.length >= 5)
+  for (const { arrivedAfterMs, usedTokens } of reports) assert.ok(arrivedAfterMs >= 0, `report ${usedTokens} is ${-arrivedAfterMs} ms older than its request`)
 })
 
-test('reports of an idle replica, which repeat, share a connection', async () => {
-  const { connections, told } = await followReplica(() => answerOf({ body: '0' }), [], false)
-  assert.ok(told.length >= 5)
+test('the identical reports of an idle replica share a connection', async () => {
+  const { connections, reports } = await pollReplica(() => formatResponse({ body: '0' }), [], false)
+  assert.ok(reports.length >= 5)
   assert.is(connections(), 1)
 })
 
-test('no report that came before confirms memory', async () => {
-  const { connections, told } = await followReplica(() => answerOf({ body: '0' }), [{ askedAtMs: 0, untilMs: Infinity }], false)
-  assert.ok(told.length >= 5)
-  assert.ok(connections() >= told.length)
+test('a repeated report does not confirm memory', async () => {
+  const { connections, reports } = await pollReplica(() => formatResponse({ body: '0' }), [{ askedAtMs: 0, untilMs: Infinity }], false)
+  assert.ok(reports.length >= 5)
+  assert.ok(connections() >= reports.length)
 })
 
 test.run()
--- a/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeReplicaCall.test.ts
+++ b/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeReplicaCall.test.ts
@@ -11,13 +11,13 @@
   readonly isSent: boolean
 }
 
-/** Calls a replica that answers each request with `answer`. */
-async function callReplica (answer: (socket: Socket) => void): Promise<Outcome> {
+/** Calls a replica that responds to the request by `respond`. */
+async function callReplica (respond: (socket: Socket) => void): Promise<Outcome> {
   const sockets = new Set<Socket>()
   const server = createServer((socket) => {
     sockets.add(socket)
     socket.on('error', () => {})
-    socket.once('data', () => answer(socket))
+    socket.once('data', () => respond(socket))
   })
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve))
   const { port } = server.address() as AddressInfo
@@ -40,43 +40,43 @@
 
 const HEAD = 'HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n'
 
-test('an answer without a length is whole when its connection is closed in order', async () => {
+test('a close-delimited response is complete if its connection is closed gracefully', async () => {
   const outcome = await callReplica((socket) => socket.end(`${HEAD}whole`))
   assert.equal(outcome, { type: 'end', isSent: true, body: 'whole' })
 })
 
-test('an answer without a length is not whole when its connection is reset', async () => {
+test('a close-delimited response is incomplete if its connection is reset', async () => {
   const outcome = await callReplica((socket) => socket.write(`${HEAD}part`, () => setTimeout(() => socket.resetAndDestroy(), 30)))
   assert.is(outcome.type, 'fail')
   assert.is(outcome.isSent, true)
 })
 
-test('an answer without a length and without a Connection header is not whole when reset', async () => {
+test('a close-delimited response without a Connection header is incomplete if its connection is reset', async () => {
   const outcome = await callReplica((socket) => socket.write('HTTP/1.1 200 OK\r\n\r\npart', () => setTimeout(() => socket.resetAndDestroy(), 30)))
   assert.is(outcome.type, 'fail')
 })
 
-test('an answer shorter than its length is not whole', async () => {
+test('a response shorter than its Content-Length is incomplete', async () => {
   const outcome = await callReplica((socket) => socket.end('HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\npart'))
   assert.is(outcome.type, 'fail')
 })
 
-test('an answer in chunks without the last one is not whole', async () => {
+test('a chunked response without the last chunk is incomplete', async () => {
   const outcome = await callReplica((socket) => socket.end('HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n'))
   assert.is(outcome.type, 'fail')
 })
 
-test('an answer without a body is whole while its connection stays open', async () => {
+test('a response without a body is complete while its connection stays open', async () => {
   const outcome = await callReplica((socket) => socket.write('HTTP/1.1 204 No Content\r\n\r\n'))
   assert.equal(outcome, { type: 'end', isSent: true, body: '' })
 })
 
-test('bytes that are no answer are a failure', async () => {
+test('bytes that are not a response fail the call', async () => {
   const outcome = await callReplica((socket) => socket.end('what is this\r\n\r\n'))
   assert.is(outcome.type, 'fail')
 })
 
-test('a replica that refuses connections was not sent anything', async () => {
+test('nothing counts as sent to a replica that refuses connections', async () => {
   const server = createServer()
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve))
   const { port } = server.address() as AddressInfo
--- a/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeReportsFull.test.ts
+++ b/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeReportsFull.test.ts
@@ -1,6 +1,7 @@
-// A replica that has no connection left for anybody answers reports on the one that it has.
-// Two of its reports are alike while runs are active; the ledger gives that connection up to
-// ask again over a new one, which is reset, and counts the replica as lost.
+// Guards against losing a healthy replica that has reached its connection limit. It answers reports
+// only on the connection that is already open. When two of its reports were identical while runs were
+// active, the ledger closed that connection and repeated the request on a new one, which was reset,
+// so that the replica counted as lost.
 import { createServer } from 'node:net'
 import type { AddressInfo } from 'node:net'
 import { setTimeout as sleep } from 'node:timers/promises'
@@ -13,7 +14,7 @@
 import type { EngineReport, ReplicaDialect } from '../../BendfallEdgeDialect.js'
 import { startReportPolling } from '../../ledger/BendfallEdgeReports.js'
 
-test('reports that are alike are read on, and cost the connection of a replica that takes no new one no failure', async () => {
+test('identical reports are accepted from a replica that refuses new connections, and its open connection does not fail', async () => {
   let connections = 0
   const server = createServer((socket) => {
     connections += 1
--- a/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeSettings.test.ts
+++ b/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeSettings.test.ts
@@ -5,20 +5,20 @@
 
 const SETTINGS = { instanceId: 'entry-1', availabilityZone: 'a', ip: '10.0.0.1', peerPorts: [7100, 7110], keyValueAddress: '10.0.0.2:80', stopGraceS: 8 }
 
-test('mechanisms that the settings do not name are as users run them', () => {
+test('mechanisms that the settings omit have their defaults', () => {
   const settings = checkEdgeSettings({ ...SETTINGS, decisions: { read: 'apart' } }, 'settings.json').unwrap()
   assert.equal(decisionsOf(settings), { ...DEFAULT_DECISIONS, read: 'apart' })
   assert.equal(decisionsOf(checkEdgeSettings(SETTINGS, 'settings.json').unwrap()), DEFAULT_DECISIONS)
 })
 
-test('an unknown mechanism or choice is a finding with its place', () => {
+test('an unknown mechanism or choice is reported with its location', () => {
   const findings = checkEdgeSettings({ ...SETTINGS, decisions: { read: 'aloud', speed: 'fast' } }, 'settings.json').unwrapErr()
   const text = JSON.stringify(findings)
   assert.match(text, /decisions.*read/)
   assert.match(text, /speed/)
 })
 
-test('all entries together get the slack of the retry budget, or none where their number is not known', () => {
+test('the slack of the retry budget is divided among all entries, and is zero if their number is unknown', () => {
   const limitsOf = (retryBudget?: object): object => budgetLimitsOf(checkEdgeSettings({ ...SETTINGS, retryBudget }, 'settings.json').unwrap())
   assert.equal(limitsOf({ ratio: 0.1, windowMs: 5_000, slack: 50, entries: 100 }), { ratio: 0.1, windowMs: 5_000, reserve: 0.5 })
   assert.equal(limitsOf({ ratio: 0.1, windowMs: 5_000, slack: 50 }), { ratio: 0.1, windowMs: 5_000, reserve: 0 })
--- a/packages/bendfall-edge/src/__tests__/unit/DirectoryWorld.ts
+++ b/packages/bendfall-edge/src/__tests__/unit/DirectoryWorld.ts
@@ -64,13 +64,13 @@
     this.recordChange(key)
     const createdRevision = this.entries.get(key)?.createdRevision ?? this.revision()
     this.entries.set(key, { key, value: JSON.stringify(value), revision: this.revision(), createdRevision, leaseId: '', expiresAtMs })
-    this.publishChange()
+    this.changed()
   }
 
   remove (key: string): void {
     if (this.isUnavailable() || !this.entries.delete(key)) return
     this.recordChange(key)
-    this.publishChange()
+    this.changed()
   }
 
   /** Makes the service unavailable for a time, and restores it from its backup of the given age. */
@@ -85,7 +85,7 @@
     const restoredExpiryMs = this.unavailableUntilMs + LEASE_MS
     const restored = [...backup?.entries ?? []].map(([key, entry]): [string, StoredEntry] => [key, { ...entry, revision: this.toCurrentEra(entry.revision), createdRevision: this.toCurrentEra(entry.createdRevision ?? 0), expiresAtMs: entry.expiresAtMs === Infinity ? Infinity : restoredExpiryMs }])
     this.entries = new Map(restored)
-    this.publishChange()
+    this.changed()
   }
 
   join (): { readonly port: KeyValuePort, latencyMs: number } {
@@ -161,7 +161,7 @@
     this.changes.push({ revisionInEra: this.revisionInEra, key })
   }
 
-  private publishChange (): void {
+  private changed (): void {
     this.backups.push({ atMs: this.clock.nowMs(), entries: new Map(this.entries), revisionInEra: this.revisionInEra })
     for (const wake of this.waiting) {
       this.waiting.delete(wake)
