--- a/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeAnswerIdentity.test.ts
+++ b/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeAnswerIdentity.test.ts
@@ -19,7 +19,10 @@
   return headers['x-prefill'] === undefined ? formatResponse({ id, isSigned: true, body: `answer to ${id}` }) : formatResponse({ id, body: `handle-${id}` })
 }
 
-/** Answers the first request with `first`, and repeats that before the response to the second request if both share a connection. */
+/**
+ * Responds to the first request with `first`, and repeats that response before the one to the second
+ * request if both share a connection.
+ */
 function withDuplicate (first: (request: ScriptedRequest) => string): (request: ScriptedRequest) => void {
   let duplicate: { readonly bytes: string, readonly connection: number } | undefined
   return (request) => {
--- a/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeDirectoryDrill.test.ts
+++ b/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeDirectoryDrill.test.ts
@@ -22,7 +22,7 @@
 const SEEDS = 40
 
 function countRunning (replicas: readonly SimulatedReplica[]): number {
-  return replicas.filter(({ leftAtMs }) => leftAtMs === undefined).length
+  return replicas.filter(({ drainingSinceMs }) => drainingSinceMs === undefined).length
 }
 
 function createRandom (initialSeed: number): () => number {
@@ -52,16 +52,16 @@
     if (nowMs % TICK_MS < STEP_MS) entry.tick()
     entry.call()
     for (const { atMs, replicaId } of entry.sends.slice(checkedSends)) {
-      const leftAtMs = replicas.find((replica) => replica.replicaId === replicaId)?.leftAtMs
-      const latestMs = Math.max(leftAtMs ?? Infinity, disturbedUntilMs + STABLE_MS) + DRAIN_MS
-      if (leftAtMs !== undefined && atMs > latestMs) lateSends.push(`${replicaId} at ${atMs}, ${atMs - leftAtMs} ms after it began to drain`)
+      const drainingSinceMs = replicas.find((replica) => replica.replicaId === replicaId)?.drainingSinceMs
+      const latestMs = Math.max(drainingSinceMs ?? Infinity, disturbedUntilMs + STABLE_MS) + DRAIN_MS
+      if (drainingSinceMs !== undefined && atMs > latestMs) lateSends.push(`${replicaId} at ${atMs}, ${atMs - drainingSinceMs} ms after it began to drain`)
     }
     checkedSends = entry.sends.length
     await clock.advance(STEP_MS)
   }
   for (let atMs = 0; atMs < SIMULATION_MS; atMs += STEP_MS) {
     if (random() < 0.008) store.restore(random() * 6_000, random() * 1_500)
-    if (random() < 0.02 && countRunning(replicas) > MIN_RUNNING) replicas[Math.floor(random() * replicas.length)]?.leave()
+    if (random() < 0.02 && countRunning(replicas) > MIN_RUNNING) replicas[Math.floor(random() * replicas.length)]?.drain()
     if (random() < 0.01) replicas[Math.floor(random() * replicas.length)]?.start()
     if (random() < 0.01) entry.client.latencyMs = 4
     if (random() < 0.005) entry.client.latencyMs = random() < 0.5 ? Infinity : 4 + random() * 500
@@ -72,7 +72,7 @@
   const sendsBefore = entry.sends.length
   for (let atMs = 0; atMs < 2_000; atMs += STEP_MS) await step()
   const usedIds = [...new Set(entry.sends.slice(sendsBefore).map(({ replicaId }) => replicaId))].sort()
-  const running = replicas.filter(({ leftAtMs }) => leftAtMs === undefined).map(({ replicaId }) => replicaId)
+  const running = replicas.filter(({ drainingSinceMs }) => drainingSinceMs === undefined).map(({ replicaId }) => replicaId)
   entry.close()
   assert.equal(lateSends, [])
   assert.equal(usedIds, running)
--- a/packages/bendfall-edge/src/__tests__/unit/DirectoryWorld.ts
+++ b/packages/bendfall-edge/src/__tests__/unit/DirectoryWorld.ts
@@ -180,7 +180,7 @@
 
 /** A simulated replica that renews its registration, drains and restarts. */
 export class SimulatedReplica {
-  leftAtMs: number | undefined
+  drainingSinceMs: number | undefined
   private state: 'ready' | 'draining' | 'gone' = 'ready'
   private born = 1
   private seq = 0
@@ -190,10 +190,10 @@
     this.start()
   }
 
-  leave (): void {
+  drain (): void {
     if (this.state !== 'ready') return
     this.state = 'draining'
-    this.leftAtMs = this.clock.nowMs()
+    this.drainingSinceMs = this.clock.nowMs()
     this.write()
     const { startCount } = this
     this.clock.callAt(this.clock.nowMs() + SHUTDOWN_MS, () => {
@@ -207,7 +207,7 @@
     if (this.state === 'ready' && this.startCount > 0) return
     this.startCount += 1
     this.state = 'ready'
-    this.leftAtMs = undefined
+    this.drainingSinceMs = undefined
     this.born = this.clock.nowMs() + 1
     this.seq = 0
     this.sendHeartbeat(this.startCount)
