--- a/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeReportsFull.test.ts
+++ b/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeReportsFull.test.ts
@@ -14,7 +14,7 @@
 import type { EngineReport, ReplicaDialect } from '../../BendfallEdgeDialect.js'
 import { startReportPolling } from '../../ledger/BendfallEdgeReports.js'
 
-test('identical reports are accepted from a replica that refuses new connections, and its open connection does not fail', async () => {
+test('identical reports of a replica that refuses new connections are accepted, and none fails', async () => {
   let connections = 0
   const server = createServer((socket) => {
     connections += 1
