--- a/packages/bendfall-edge/src/__tests__/unit/ReplicaScene.ts
+++ b/packages/bendfall-edge/src/__tests__/unit/ReplicaScene.ts
@@ -69,7 +69,7 @@
   }
   const find = <T extends RouterEvent['type']>(type: T, matches: (event: RouterEventOf<T>) => boolean): RouterEventOf<T> | undefined =>
     (events.filter((event) => event.type === type) as Array<RouterEventOf<T>>).find(matches)
-  const waitForEvent: ReplicaHarness['next'] = (type, matches) => wait(() => find(type, matches))
+  const waitForEvent: ReplicaHarness['waitForEvent'] = (type, matches) => wait(() => find(type, matches))
   const createTarget = (id: string, attempt: number): { readonly key: string, readonly attempt: number, readonly replicaId: string, readonly address: string, readonly deadlineMs: number } => {
     if (!exchanges.has(id)) exchanges.set(id, createExchangeStub(id, delivered))
     return { key: id, attempt, replicaId: 'i-1', address: replica.address, deadlineMs: WAIT_MS }
