--- a/packages/bendfall-router/src/__tests__/unit/AllotmentWorld.ts
+++ b/packages/bendfall-router/src/__tests__/unit/AllotmentWorld.ts
@@ -2,32 +2,32 @@
 import type { Allotment, AllotmentBounds, AllotmentLeaderState, AllotmentRole, BucketLimit, Customer, TokenBucket } from '../../index.js'
 import { VirtualTime } from './VirtualTime.js'
 
-/** Ways to bound what a customer uses at all entries together. */
-export const ALLOTMENT_WAYS = ['keeper', 'blocks', 'equal_shares'] as const
-export type AllotmentWay = (typeof ALLOTMENT_WAYS)[number]
+/** Strategies that limit a customer's total usage over all entries. */
+export const ALLOTMENT_STRATEGIES = ['keeper', 'blocks', 'equal_shares'] as const
+export type AllotmentStrategy = (typeof ALLOTMENT_STRATEGIES)[number]
 
-/** Where the customer's requests arrive. */
-export type Spread = 'all_entries' | 'one_entry' | 'moving'
+/** How the customer's requests are distributed over the entries. */
+export type Distribution = 'all_entries' | 'one_entry' | 'moving'
 
-/** A customer before entries. */
-export interface AllotmentPlay {
+/** Load of one customer, and the entries that receive it. */
+export interface AllotmentScenario {
   readonly seed: number
-  readonly way: AllotmentWay
+  readonly strategy: AllotmentStrategy
   readonly entries: number
-  readonly spread: Spread
-  /** Times its limit. */
+  readonly distribution: Distribution
+  /** Demand as a multiple of the customer's limit. */
   readonly demand: number
   readonly seconds: number
-  /** Kills the keeper each so often; the next one holds the duty after its lease. */
-  readonly keeperLostEachMs?: number
+  /** Interval at which the leader is killed; the next leader takes over once its lease has expired. */
+  readonly leaderLossIntervalMs?: number
 }
 
-/** What came of it. */
+/** Measured results of a simulation. */
 export interface AllotmentOutcome {
-  /** Tokens beyond the bound, in the worst window. */
+  /** Tokens admitted above the bound, in the worst window. */
   readonly overTokens: number
-  /** Tokens that ran, of those that one full bucket would have granted. */
-  readonly dueShare: number
+  /** Admitted tokens as a share of those that a single bucket, full at the start, would have granted. */
+  readonly admittedShare: number
   readonly storeCallsPerS: number
   /** Calls between entries. */
   readonly peerCallsPerS: number
@@ -38,50 +38,50 @@
 const BOUND_TOKENS = (LIMIT.unitsPerS * BOUNDS.windowMs / 1_000 + LIMIT.burstUnits) * (1 + BOUNDS.overShare) + BOUNDS.slackUnits
 const CUSTOMER: Customer = { name: 'acme', keyDigests: [], allotment: LIMIT }
 
-/** One of five requests is a stream with most of the tokens. */
+/** About one in four requests is a stream; streams use most of the tokens. */
 const STREAM_TOKENS = 5_273
 const CALL_TOKENS = 200
 const STREAM_SHARE = 0.26
 const MEAN_TOKENS = STREAM_SHARE * STREAM_TOKENS + (1 - STREAM_SHARE) * CALL_TOKENS
 
 const LEASE_MS = 5_000
-const MOVES_EACH_MS = 3_000
+const ENTRY_CHANGE_INTERVAL_MS = 3_000
 
-/** A block lasts this long at the entry that took it; what is left then is lost. */
+/** Lifetime of a block at the entry that took it; its remaining tokens are then lost. */
 const BLOCK_TTL_MS = 1_000
 const BLOCK_TOKENS = 6_000
 
-interface Way {
+interface Strategy {
   readonly take: (entry: number, tokens: number, nowMs: number) => boolean
   readonly calls: { store: number, peer: number }
 }
 
-const WAYS: Readonly<Record<AllotmentWay, (play: AllotmentPlay) => Way>> = { keeper: playKeeper, blocks: playBlocks, equal_shares: playEqualShares }
+const STRATEGY_FACTORIES: Readonly<Record<AllotmentStrategy, (scenario: AllotmentScenario) => Strategy>> = { keeper: createLeaderStrategy, blocks: createBlockStrategy, equal_shares: createEqualShareStrategy }
 
-/** Plays it. */
-export function playAllotment (play: AllotmentPlay): AllotmentOutcome {
-  const time = new VirtualTime(play.seed)
-  const way = WAYS[play.way](play)
+/** Runs a scenario in virtual time. */
+export function simulateAllotment (scenario: AllotmentScenario): AllotmentOutcome {
+  const time = new VirtualTime(scenario.seed)
+  const strategy = STRATEGY_FACTORIES[scenario.strategy](scenario)
   const reference: TokenBucket = { ...createBucket(LIMIT, 0), units: LIMIT.burstUnits, unknownUnits: 0 }
   const runs: Array<{ readonly atMs: number, readonly tokens: number }> = []
-  const perSecond = play.demand * LIMIT.unitsPerS / MEAN_TOKENS
-  let dueTokens = 0
-  for (let atMs = 0; atMs < play.seconds * 1_000; atMs += -Math.log(1 - time.draw()) * 1_000 / perSecond) {
+  const perSecond = scenario.demand * LIMIT.unitsPerS / MEAN_TOKENS
+  let referenceTokens = 0
+  for (let atMs = 0; atMs < scenario.seconds * 1_000; atMs += -Math.log(1 - time.draw()) * 1_000 / perSecond) {
     const tokens = time.draw() < STREAM_SHARE ? STREAM_TOKENS : CALL_TOKENS
-    if (takeUnits(reference, LIMIT, tokens, atMs).type === 'granted') dueTokens += tokens
-    if (way.take(entryOf(play, time.draw(), atMs), tokens, atMs)) runs.push({ atMs, tokens })
+    if (takeUnits(reference, LIMIT, tokens, atMs).type === 'granted') referenceTokens += tokens
+    if (strategy.take(entryOf(scenario, time.draw(), atMs), tokens, atMs)) runs.push({ atMs, tokens })
   }
   return {
     overTokens: Math.max(0, Math.round(worstWindow(runs) - BOUND_TOKENS)),
-    dueShare: Math.min(1, runs.reduce((sum, { tokens }) => sum + tokens, 0) / dueTokens),
-    storeCallsPerS: way.calls.store / play.seconds,
-    peerCallsPerS: way.calls.peer / play.seconds
+    admittedShare: Math.min(1, runs.reduce((sum, { tokens }) => sum + tokens, 0) / referenceTokens),
+    storeCallsPerS: strategy.calls.store / scenario.seconds,
+    peerCallsPerS: strategy.calls.peer / scenario.seconds
   }
 }
 
-function entryOf ({ entries, spread }: AllotmentPlay, draw: number, atMs: number): number {
-  if (spread === 'all_entries') return Math.floor(draw * entries)
-  return spread === 'one_entry' ? 0 : Math.floor(atMs / MOVES_EACH_MS) % entries
+function entryOf ({ entries, distribution }: AllotmentScenario, draw: number, atMs: number): number {
+  if (distribution === 'all_entries') return Math.floor(draw * entries)
+  return distribution === 'one_entry' ? 0 : Math.floor(atMs / ENTRY_CHANGE_INTERVAL_MS) % entries
 }
 
 function worstWindow (runs: ReadonlyArray<{ readonly atMs: number, readonly tokens: number }>): number {
@@ -99,33 +99,33 @@
   return worst
 }
 
-// One entry is asked by all. When it is lost its duty is free after the lease, and the reserve grants.
-function playKeeper ({ entries, keeperLostEachMs = Infinity }: AllotmentPlay): Way {
+// All entries request tokens from the leader. While a lost leader's lease has not expired, the reserve grants tokens.
+function createLeaderStrategy ({ entries, leaderLossIntervalMs = Infinity }: AllotmentScenario): Strategy {
   const calls = { store: 0, peer: 0 }
   let primary = createAllotmentLeaderState('primary', BOUNDS, -LEASE_MS)
   const reserve = createAllotmentLeaderState('reserve', BOUNDS, -LEASE_MS)
-  let heldUntilMs = keeperLostEachMs
-  const ask = (keeper: AllotmentLeaderState, _role: AllotmentRole, tokens: number, nowMs: number): string => {
+  let leaderLostAtMs = leaderLossIntervalMs
+  const requestTokens = (leader: AllotmentLeaderState, _role: AllotmentRole, tokens: number, nowMs: number): string => {
     calls.peer += entries === 1 ? 0 : 1
-    return takeFromAllotment(keeper, CUSTOMER, tokens, nowMs).type
+    return takeFromAllotment(leader, CUSTOMER, tokens, nowMs).type
   }
   return {
     calls,
     take: (_, tokens, nowMs) => {
-      if (nowMs >= heldUntilMs + LEASE_MS) {
-        primary = createAllotmentLeaderState('primary', BOUNDS, heldUntilMs + LEASE_MS)
-        heldUntilMs += LEASE_MS + keeperLostEachMs
+      if (nowMs >= leaderLostAtMs + LEASE_MS) {
+        primary = createAllotmentLeaderState('primary', BOUNDS, leaderLostAtMs + LEASE_MS)
+        leaderLostAtMs += LEASE_MS + leaderLossIntervalMs
         calls.store += 2
       }
-      const answer = nowMs < heldUntilMs ? ask(primary, 'primary', tokens, nowMs) : 'unreachable'
-      if (answer === 'granted' || answer === 'refused') return answer === 'granted'
-      return ask(reserve, 'reserve', tokens, nowMs) === 'granted'
+      const outcome = nowMs < leaderLostAtMs ? requestTokens(primary, 'primary', tokens, nowMs) : 'unreachable'
+      if (outcome === 'granted' || outcome === 'refused') return outcome === 'granted'
+      return requestTokens(reserve, 'reserve', tokens, nowMs) === 'granted'
     }
   }
 }
 
-// Each entry takes blocks from a bucket in the store, under a condition, when it lacks tokens.
-function playBlocks ({ entries }: AllotmentPlay): Way {
+// An entry without enough tokens takes a block from a bucket in the store, by a conditional write.
+function createBlockStrategy ({ entries }: AllotmentScenario): Strategy {
   const calls = { store: 0, peer: 0 }
   const shared: TokenBucket = { ...createBucket(LIMIT, 0), units: LIMIT.burstUnits, unknownUnits: 0 }
   const blocks = Array.from({ length: entries }, () => ({ tokens: 0, untilMs: 0 }))
@@ -148,8 +148,8 @@
   }
 }
 
-// Each entry has the same part of the rate and of the burst.
-function playEqualShares ({ entries }: AllotmentPlay): Way {
+// Each entry gets an equal share of the rate and of the burst.
+function createEqualShareStrategy ({ entries }: AllotmentScenario): Strategy {
   const limit: BucketLimit = { unitsPerS: LIMIT.unitsPerS / entries, burstUnits: LIMIT.burstUnits / entries }
   const buckets = Array.from({ length: entries }, (): TokenBucket => ({ ...createBucket(limit, 0), units: limit.burstUnits, unknownUnits: 0 }))
   return { calls: { store: 0, peer: 0 }, take: (entry, tokens, nowMs) => takeUnits(buckets[entry] as TokenBucket, limit, tokens, nowMs).type === 'granted' }
