--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterAllotment.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterAllotment.test.ts
@@ -130,12 +130,12 @@
 test('the reserve covers the usual demand of a customer until a lost primary is replaced', () => {
   const reserve = createAllotmentLeaderState('reserve', BOUNDS, 0)
   let granted = 0
-  let asked = 0
+  let requested = 0
   for (let atMs = 60_000; atMs < 66_000; atMs += 264) {
-    asked += 1
+    requested += 1
     if (takeFromAllotment(reserve, ACME, 5_273, atMs).type === 'granted') granted += 1
   }
-  assert.ok(granted >= 0.9 * asked, `${granted} of ${asked}`)
+  assert.ok(granted >= 0.9 * requested, `${granted} of ${requested}`)
 })
 
 test('without bounds the reserve grants nothing', () => {
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterCallerWaits.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterCallerWaits.test.ts
@@ -47,7 +47,7 @@
     const waits = createCallerWaits()
     const sinceFirstTryMs = Array.from({ length: 300 }, () => recordCallerWait(waits, WAIT_MS * (0.9 + 0.2 * draw()), 0)).slice(50)
     assert.ok(sinceFirstTryMs.filter((ms) => ms > 0).length < 0.35 * sinceFirstTryMs.length, `seed ${seed}`)
-    assert.ok(Math.max(...told) < 0.1 * WAIT_MS, `seed ${seed}: ${Math.max(...told)}`)
+    assert.ok(Math.max(...sinceFirstTryMs) < 0.1 * WAIT_MS, `seed ${seed}: ${Math.max(...sinceFirstTryMs)}`)
   }
 })
 
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterDeparted.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterDeparted.test.ts
@@ -1,5 +1,5 @@
-// A service that comes back from an older copy tells registrations as they were, at higher
-// revisions: replicas that left since are listed again, those that drain are ready again.
+// A key-value service that is restored from a backup returns old registrations at higher revisions:
+// replicas that left since then are listed again, and draining ones appear ready.
 import fc from 'fast-check'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
@@ -7,91 +7,91 @@
 import { createWorld, plainRoute, replicaOf } from './RouterWorld.js'
 import type { RouterWorld } from './RouterWorld.js'
 
-const BORN_MS = 1_764_000_000_000
-const LATER_ERA = 1_000
+const STARTED_AT_MS = 1_764_000_000_000
+const NEXT_ERA_REVISION = 1_000
 
-const wordOf = (heartbeats: number, change: Partial<Replica> = {}): Replica =>
-  replicaOf('a', 'plain', { startedAtMs: BORN_MS, heartbeats, revision: heartbeats, ...change })
+const registrationOf = (heartbeats: number, changes: Partial<Replica> = {}): Replica =>
+  replicaOf('a', 'plain', { startedAtMs: STARTED_AT_MS, heartbeats, revision: heartbeats, ...changes })
 
-const tell = (world: RouterWorld, replica: Replica): void => { world.send({ type: 'replicas_changed', present: [replica], gone: [] }) }
-const remove = (world: RouterWorld): void => { world.send({ type: 'replicas_changed', present: [], gone: ['a'] }) }
+const update = (simulation: RouterWorld, replica: Replica): void => { simulation.send({ type: 'replicas_changed', present: [replica], gone: [] }) }
+const remove = (simulation: RouterWorld): void => { simulation.send({ type: 'replicas_changed', present: [], gone: ['a'] }) }
 const isKnown = ({ state }: RouterWorld): boolean => state.replicas.has('a')
 const isDraining = ({ state }: RouterWorld): boolean => state.replicas.get('a')?.replica.isDraining === true
 
-test('a replica whose registration was removed does not come back by an older word', () => {
-  const world = createWorld([plainRoute()], [wordOf(9)])
-  remove(world)
-  tell(world, wordOf(7, { revision: LATER_ERA }))
-  assert.is(isKnown(world), false)
-  tell(world, wordOf(9, { revision: LATER_ERA }))
-  assert.is(isKnown(world), false)
-  tell(world, wordOf(10, { revision: LATER_ERA + 1 }))
-  assert.is(isKnown(world), true)
+test('a replica whose registration was removed is not added again by a stale registration', () => {
+  const simulation = createWorld([plainRoute()], [registrationOf(9)])
+  remove(simulation)
+  update(simulation, registrationOf(7, { revision: NEXT_ERA_REVISION }))
+  assert.is(isKnown(simulation), false)
+  update(simulation, registrationOf(9, { revision: NEXT_ERA_REVISION }))
+  assert.is(isKnown(simulation), false)
+  update(simulation, registrationOf(10, { revision: NEXT_ERA_REVISION + 1 }))
+  assert.is(isKnown(simulation), true)
 })
 
-test('a replica that drains is not ready again by an older word, nor by one of the same count', () => {
-  const world = createWorld([plainRoute()], [wordOf(9, { isDraining: true })])
+test('a draining replica is not made ready by a registration with a lower, the same or a higher heartbeat count', () => {
+  const simulation = createWorld([plainRoute()], [registrationOf(9, { isDraining: true })])
   for (const heartbeats of [7, 9, 10]) {
-    tell(world, wordOf(heartbeats, { revision: LATER_ERA }))
-    assert.is(isDraining(world), true, `${heartbeats}`)
+    update(simulation, registrationOf(heartbeats, { revision: NEXT_ERA_REVISION }))
+    assert.is(isDraining(simulation), true, `${heartbeats}`)
   }
 })
 
-test('a later process under the id is news, an earlier one is not', () => {
-  const world = createWorld([plainRoute()], [wordOf(9)])
-  remove(world)
-  tell(world, wordOf(20, { startedAtMs: BORN_MS - 1, revision: LATER_ERA }))
-  assert.is(isKnown(world), false)
-  tell(world, wordOf(1, { startedAtMs: BORN_MS + 1, revision: LATER_ERA }))
-  assert.is(isKnown(world), true)
+test('a registration of a later process under the same id is accepted, one of an earlier process is not', () => {
+  const simulation = createWorld([plainRoute()], [registrationOf(9)])
+  remove(simulation)
+  update(simulation, registrationOf(20, { startedAtMs: STARTED_AT_MS - 1, revision: NEXT_ERA_REVISION }))
+  assert.is(isKnown(simulation), false)
+  update(simulation, registrationOf(1, { startedAtMs: STARTED_AT_MS + 1, revision: NEXT_ERA_REVISION }))
+  assert.is(isKnown(simulation), true)
 })
 
-test('a live replica that the copy tells as it was stays in use', () => {
-  const world = createWorld([plainRoute()], [wordOf(9)])
-  tell(world, wordOf(7, { revision: LATER_ERA }))
-  assert.is(isKnown(world), true)
-  tell(world, wordOf(10, { revision: LATER_ERA + 1 }))
-  assert.is(world.state.replicas.get('a')?.replica.heartbeats, 10)
+test('a live replica stays in use when a restored backup returns its old registration', () => {
+  const simulation = createWorld([plainRoute()], [registrationOf(9)])
+  update(simulation, registrationOf(7, { revision: NEXT_ERA_REVISION }))
+  assert.is(isKnown(simulation), true)
+  update(simulation, registrationOf(10, { revision: NEXT_ERA_REVISION + 1 }))
+  assert.is(simulation.state.replicas.get('a')?.replica.heartbeats, 10)
 })
 
-test('those that left are remembered in a bounded number', () => {
-  const world = createWorld([plainRoute()], [])
+test('the number of remembered departed replicas is limited', () => {
+  const simulation = createWorld([plainRoute()], [])
   for (let i = 0; i < 3_000; i++) {
-    const replica = replicaOf(`r${i}`, 'plain', { startedAtMs: BORN_MS })
-    world.send({ type: 'replicas_changed', present: [replica], gone: [] })
-    world.send({ type: 'replicas_changed', present: [], gone: [replica.replicaId] })
+    const replica = replicaOf(`r${i}`, 'plain', { startedAtMs: STARTED_AT_MS })
+    simulation.send({ type: 'replicas_changed', present: [replica], gone: [] })
+    simulation.send({ type: 'replicas_changed', present: [], gone: [replica.replicaId] })
   }
-  assert.ok(world.state.departed.size <= 1_024)
+  assert.ok(simulation.state.departed.size <= 1_024)
 })
 
-// Words of one process in any order and at any revision, with removals between.
-test('nothing that left or drains is used by an older word, in any order of words and copies', () => {
+// Registrations of one process in any order and at any revision, with removals in between.
+test('no order of registrations and restored backups makes a departed or draining replica usable by a stale registration', () => {
   const step = fc.oneof(
-    fc.record({ type: fc.constant('word' as const), back: fc.nat(8) }),
+    fc.record({ type: fc.constant('word' as const), heartbeatsBehind: fc.nat(8) }),
     fc.record({ type: fc.constant('heartbeat' as const) }),
     fc.record({ type: fc.constant('drain' as const) }),
     fc.record({ type: fc.constant('remove' as const) })
   )
   fc.assert(fc.property(fc.array(step, { maxLength: 40 }), (steps) => {
-    const world = createWorld([plainRoute()], [])
+    const simulation = createWorld([plainRoute()], [])
     let heartbeats = 1
     let revision = 1
     let hasDrained = false
-    let leftAt = 0
+    let heartbeatsAtRemoval = 0
     for (const one of steps) {
       revision += 1
       if (one.type === 'drain') hasDrained = true
       if (one.type === 'remove') {
-        // What was never known can't be remembered.
-        leftAt = world.state.replicas.get('a')?.replica.heartbeats ?? leftAt
-        remove(world)
+        // A replica that was never known is not remembered as departed.
+        heartbeatsAtRemoval = simulation.state.replicas.get('a')?.replica.heartbeats ?? heartbeatsAtRemoval
+        remove(simulation)
         continue
       }
       if (one.type !== 'word') heartbeats += 1
-      const told = one.type === 'word' ? Math.max(1, heartbeats - one.back) : heartbeats
-      tell(world, wordOf(told, { revision, isDraining: one.type === 'word' ? false : hasDrained }))
-      if (hasDrained && isKnown(world) && told > leftAt && one.type !== 'word') assert.is(isDraining(world), true)
-      if (told <= leftAt) assert.is(isKnown(world) && (world.state.replicas.get('a')?.replica.heartbeats ?? 0) <= leftAt, false)
+      const reportedHeartbeats = one.type === 'word' ? Math.max(1, heartbeats - one.heartbeatsBehind) : heartbeats
+      update(simulation, registrationOf(reportedHeartbeats, { revision, isDraining: one.type === 'word' ? false : hasDrained }))
+      if (hasDrained && isKnown(simulation) && reportedHeartbeats > heartbeatsAtRemoval && one.type !== 'word') assert.is(isDraining(simulation), true)
+      if (reportedHeartbeats <= heartbeatsAtRemoval) assert.is(isKnown(simulation) && (simulation.state.replicas.get('a')?.replica.heartbeats ?? 0) <= heartbeatsAtRemoval, false)
     }
   }))
 })
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterLedger.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterLedger.test.ts
@@ -10,8 +10,8 @@
   return { stage: 'decode', usedTokens, capacityTokens: CAPACITY, queued: 0, active: runs.length, isSwitching: false, runs }
 }
 
-function askOf (requestId: string, promptTokens: number, change: Partial<BookingRequest> = {}): BookingRequest {
-  return { bookingId: `${requestId}/1`, requestId, promptTokens, hintTokens: 300, maxOutputTokens: 600, leadMs: 100, maxWaitMs: 2_000, priority: 1, targetMs: 900, readsInPlace: false, ...change }
+function bookingRequestOf (requestId: string, promptTokens: number, changes: Partial<BookingRequest> = {}): BookingRequest {
+  return { bookingId: `${requestId}/1`, requestId, promptTokens, hintTokens: 300, maxOutputTokens: 600, leadMs: 100, maxWaitMs: 2_000, priority: 1, targetMs: 900, readsInPlace: false, ...changes }
 }
 
 function send (state: LedgerState, event: LedgerEvent): LedgerEffect[] {
@@ -24,72 +24,72 @@
   return state
 }
 
-test('memory that is free is granted at once', () => {
-  assert.equal(send(createLedger(), { type: 'memory_asked', atMs: 1, request: askOf('a', 4_000) }), [{ type: 'answer', bookingId: 'a/1', isGranted: true, retryAfterMs: 0 }])
+test('free memory is granted at once', () => {
+  assert.equal(send(createLedger(), { type: 'memory_asked', atMs: 1, request: bookingRequestOf('a', 4_000) }), [{ type: 'answer', bookingId: 'a/1', isGranted: true, retryAfterMs: 0 }])
 })
 
-test('a repeated ask finds its booking', () => {
+test('a repeated booking request returns the existing booking', () => {
   const state = createLedger()
-  send(state, { type: 'memory_asked', atMs: 1, request: askOf('a', 4_000) })
-  send(state, { type: 'memory_asked', atMs: 2, request: askOf('a', 4_000) })
+  send(state, { type: 'memory_asked', atMs: 1, request: bookingRequestOf('a', 4_000) })
+  send(state, { type: 'memory_asked', atMs: 2, request: bookingRequestOf('a', 4_000) })
   assert.is(state.bookings.size, 1)
 })
 
 test('granted memory is not granted twice', () => {
   const state = createLedger()
-  send(state, { type: 'memory_asked', atMs: 1, request: askOf('a', 6_000) })
-  send(state, { type: 'memory_asked', atMs: 2, request: askOf('b', 6_000, { maxWaitMs: 60_000 }) })
+  send(state, { type: 'memory_asked', atMs: 1, request: bookingRequestOf('a', 6_000) })
+  send(state, { type: 'memory_asked', atMs: 2, request: bookingRequestOf('b', 6_000, { maxWaitMs: 60_000 }) })
   assert.is(state.bookings.size, 1)
   assert.is(state.waiting.length, 1)
 })
 
-test('an ask waits until memory is free', () => {
+test('a booking request waits until memory is free', () => {
   const state = createLedger([{ requestId: 'x', tokensInMemory: 8_000, eventsMade: 5 }])
-  assert.equal(send(state, { type: 'memory_asked', atMs: 1, request: askOf('a', 4_000) }), [])
+  assert.equal(send(state, { type: 'memory_asked', atMs: 1, request: bookingRequestOf('a', 4_000) }), [])
   const effects = send(state, { type: 'report_read', atMs: 500, askedAtMs: 499, report: reportOf([]) })
   assert.equal(effects, [{ type: 'answer', bookingId: 'a/1', isGranted: true, retryAfterMs: 0 }])
 })
 
-test('an ask that waited long enough is refused', () => {
+test('a booking request is refused after its maximum wait', () => {
   const state = createLedger([{ requestId: 'x', tokensInMemory: 8_000, eventsMade: 5 }])
-  send(state, { type: 'memory_asked', atMs: 1, request: askOf('a', 4_000) })
+  send(state, { type: 'memory_asked', atMs: 1, request: bookingRequestOf('a', 4_000) })
   const [answer] = send(state, { type: 'time_passed', atMs: 2_002 })
   assert.is(answer?.type === 'answer' && answer.isGranted, false)
   assert.is(state.waiting.length, 0)
 })
 
-test('an ask that can never fit is refused at once', () => {
-  const [answer] = send(createLedger(), { type: 'memory_asked', atMs: 1, request: askOf('a', 20_000) })
+test('a booking request larger than the capacity is refused at once', () => {
+  const [answer] = send(createLedger(), { type: 'memory_asked', atMs: 1, request: bookingRequestOf('a', 20_000) })
   assert.is(answer?.type === 'answer' && answer.isGranted, false)
 })
 
-test('those that can be on time are granted before those that are late', () => {
+test('requests that can meet their target are granted before late ones', () => {
   const state = createLedger([{ requestId: 'x', tokensInMemory: 8_000, eventsMade: 5 }])
-  send(state, { type: 'memory_asked', atMs: 1, request: askOf('late', 7_000, { targetMs: 0, maxWaitMs: 3_000 }) })
-  send(state, { type: 'memory_asked', atMs: 2, request: askOf('on-time', 7_000, { targetMs: 900, maxWaitMs: 3_000 }) })
+  send(state, { type: 'memory_asked', atMs: 1, request: bookingRequestOf('late', 7_000, { targetMs: 0, maxWaitMs: 3_000 }) })
+  send(state, { type: 'memory_asked', atMs: 2, request: bookingRequestOf('on-time', 7_000, { targetMs: 900, maxWaitMs: 3_000 }) })
   const [answer] = send(state, { type: 'report_read', atMs: 300, askedAtMs: 299, report: reportOf([]) })
   assert.is(answer?.type === 'answer' && answer.bookingId, 'on-time/1')
 })
 
-test('a booking whose run ended is dropped', () => {
+test('a booking is dropped when its run has ended', () => {
   const state = createLedger()
-  send(state, { type: 'memory_asked', atMs: 1, request: askOf('a', 4_000) })
+  send(state, { type: 'memory_asked', atMs: 1, request: bookingRequestOf('a', 4_000) })
   send(state, { type: 'report_read', atMs: 300, askedAtMs: 299, report: reportOf([{ requestId: 'a', tokensInMemory: 4_000, eventsMade: 1 }]) })
   assert.is(state.bookings.size, 1)
   send(state, { type: 'report_read', atMs: 900, askedAtMs: 899, report: reportOf([]) })
   assert.is(state.bookings.size, 0)
 })
 
-test('a booking whose entry is gone is dropped', () => {
+test('a booking is dropped when its entry has failed and its run never starts', () => {
   const state = createLedger()
-  send(state, { type: 'memory_asked', atMs: 1, request: askOf('a', 4_000) })
+  send(state, { type: 'memory_asked', atMs: 1, request: bookingRequestOf('a', 4_000) })
   send(state, { type: 'report_read', atMs: 2_000, askedAtMs: 1_999, report: reportOf([]) })
   assert.is(state.bookings.size, 0)
 })
 
-test('a confirmation waits for a report that was asked for after it', () => {
+test('a confirmation waits for a report that was requested after it', () => {
   const state = createLedger()
-  send(state, { type: 'memory_asked', atMs: 1, request: askOf('a', 4_000) })
+  send(state, { type: 'memory_asked', atMs: 1, request: bookingRequestOf('a', 4_000) })
   assert.equal(send(state, { type: 'confirm_asked', atMs: 100, bookingId: 'a/1', maxWaitMs: 400 }), [])
   assert.equal(send(state, { type: 'report_read', atMs: 110, askedAtMs: 90, report: reportOf([]) }), [])
   assert.equal(send(state, { type: 'report_read', atMs: 120, askedAtMs: 111, report: reportOf([]) }), [{ type: 'confirmed', bookingId: 'a/1', isFree: true }])
@@ -97,17 +97,17 @@
 
 test('a confirmation fails when memory stays occupied', () => {
   const state = createLedger()
-  send(state, { type: 'memory_asked', atMs: 1, request: askOf('a', 4_000) })
+  send(state, { type: 'memory_asked', atMs: 1, request: bookingRequestOf('a', 4_000) })
   send(state, { type: 'confirm_asked', atMs: 100, bookingId: 'a/1', maxWaitMs: 400 })
   const full = reportOf([{ requestId: 'x', tokensInMemory: 9_000, eventsMade: 1 }])
   assert.equal(send(state, { type: 'report_read', atMs: 200, askedAtMs: 199, report: full }), [])
   assert.equal(send(state, { type: 'report_read', atMs: 501, askedAtMs: 500, report: full }), [{ type: 'confirmed', bookingId: 'a/1', isFree: false }])
 })
 
-test('two confirmations do not count on the same memory', () => {
+test('two confirmations do not use the same free memory', () => {
   const state = createLedger()
-  send(state, { type: 'memory_asked', atMs: 1, request: askOf('a', 4_000) })
-  send(state, { type: 'memory_asked', atMs: 1, request: askOf('b', 4_000) })
+  send(state, { type: 'memory_asked', atMs: 1, request: bookingRequestOf('a', 4_000) })
+  send(state, { type: 'memory_asked', atMs: 1, request: bookingRequestOf('b', 4_000) })
   send(state, { type: 'confirm_asked', atMs: 100, bookingId: 'a/1', maxWaitMs: 400 })
   send(state, { type: 'confirm_asked', atMs: 100, bookingId: 'b/1', maxWaitMs: 400 })
   const half = reportOf([{ requestId: 'x', tokensInMemory: 4_000, eventsMade: 1 }])
@@ -120,89 +120,89 @@
   return state
 }
 
-test('a prefill replica takes few prompts at once, and the next one when one was read', () => {
+test('a prefill replica accepts few prompts at once, and the next one when one has been processed', () => {
   const state = createPrefillLedger()
-  for (const id of ['a', 'b']) assert.is(send(state, { type: 'memory_asked', atMs: 1, request: askOf(id, 4_000) }).length, 1)
-  for (const id of ['a', 'b']) send(state, { type: 'memory_asked', atMs: 2, request: askOf(id, 4_000, { maxWaitMs: 0 }) })
-  assert.equal(send(state, { type: 'memory_asked', atMs: 3, request: askOf('c', 4_000) }), [])
+  for (const id of ['a', 'b']) assert.is(send(state, { type: 'memory_asked', atMs: 1, request: bookingRequestOf(id, 4_000) }).length, 1)
+  for (const id of ['a', 'b']) send(state, { type: 'memory_asked', atMs: 2, request: bookingRequestOf(id, 4_000, { maxWaitMs: 0 }) })
+  assert.equal(send(state, { type: 'memory_asked', atMs: 3, request: bookingRequestOf('c', 4_000) }), [])
   assert.equal(send(state, { type: 'released', atMs: 100, bookingId: 'a/1' }), [{ type: 'answer', bookingId: 'c/1', isGranted: true, retryAfterMs: 0 }])
 })
 
 test('a late prompt waits behind one that can be on time', () => {
   const state = createPrefillLedger()
-  send(state, { type: 'memory_asked', atMs: 1, request: askOf('a', 8_000, { maxWaitMs: 0 }) })
-  send(state, { type: 'memory_asked', atMs: 2, request: askOf('late', 3_000, { targetMs: 0 }) })
-  send(state, { type: 'memory_asked', atMs: 3, request: askOf('on-time', 6_000) })
+  send(state, { type: 'memory_asked', atMs: 1, request: bookingRequestOf('a', 8_000, { maxWaitMs: 0 }) })
+  send(state, { type: 'memory_asked', atMs: 2, request: bookingRequestOf('late', 3_000, { targetMs: 0 }) })
+  send(state, { type: 'memory_asked', atMs: 3, request: bookingRequestOf('on-time', 6_000) })
   const [answer] = send(state, { type: 'released', atMs: 50, bookingId: 'a/1' })
   assert.is(answer?.type === 'answer' && answer.bookingId, 'on-time/1')
 })
 
-test('a slot whose request does not come lapses', () => {
+test('a slot expires when its request does not arrive', () => {
   const state = createPrefillLedger()
-  send(state, { type: 'memory_asked', atMs: 1, request: askOf('a', 8_000) })
-  send(state, { type: 'memory_asked', atMs: 2, request: askOf('b', 8_000) })
+  send(state, { type: 'memory_asked', atMs: 1, request: bookingRequestOf('a', 8_000) })
+  send(state, { type: 'memory_asked', atMs: 2, request: bookingRequestOf('b', 8_000) })
   assert.equal(send(state, { type: 'time_passed', atMs: 200 }), [{ type: 'answer', bookingId: 'b/1', isGranted: true, retryAfterMs: 0 }])
 })
 
-test('a prompt that can not be read in time is refused at once', () => {
+test('a prompt that cannot be processed in time is refused at once', () => {
   const state = createPrefillLedger()
-  for (let i = 0; i < 20; i++) send(state, { type: 'memory_asked', atMs: 1, request: askOf(`a${i}`, 4_000, { maxWaitMs: 3_500 }) })
-  const [answer] = send(state, { type: 'memory_asked', atMs: 2, request: askOf('b', 4_000, { maxWaitMs: 1_000 }) })
+  for (let i = 0; i < 20; i++) send(state, { type: 'memory_asked', atMs: 1, request: bookingRequestOf(`a${i}`, 4_000, { maxWaitMs: 3_500 }) })
+  const [answer] = send(state, { type: 'memory_asked', atMs: 2, request: bookingRequestOf('b', 4_000, { maxWaitMs: 1_000 }) })
   assert.is(answer?.type === 'answer' && answer.isGranted, false)
 })
 
-test('a second prompt to be read in place is refused until the first one is read', () => {
+test('a second prompt for prefill on the decode replica is refused until the first one is processed', () => {
   const state = createLedger()
-  send(state, { type: 'memory_asked', atMs: 1, request: askOf('a', 3_000, { readsInPlace: true, leadMs: 0, maxWaitMs: 0 }) })
-  const ask = askOf('b', 3_000, { readsInPlace: true, leadMs: 0, maxWaitMs: 0 })
-  assert.equal(send(state, { type: 'memory_asked', atMs: 2, request: ask }).map((effect) => effect.type === 'answer' && effect.isGranted), [false])
+  send(state, { type: 'memory_asked', atMs: 1, request: bookingRequestOf('a', 3_000, { readsInPlace: true, leadMs: 0, maxWaitMs: 0 }) })
+  const request = bookingRequestOf('b', 3_000, { readsInPlace: true, leadMs: 0, maxWaitMs: 0 })
+  assert.equal(send(state, { type: 'memory_asked', atMs: 2, request }).map((effect) => effect.type === 'answer' && effect.isGranted), [false])
   send(state, { type: 'report_read', atMs: 500, askedAtMs: 499, report: reportOf([{ requestId: 'a', tokensInMemory: 3_000, eventsMade: 1 }]) })
-  assert.equal(send(state, { type: 'memory_asked', atMs: 501, request: ask }).map((effect) => effect.type === 'answer' && effect.isGranted), [true])
+  assert.equal(send(state, { type: 'memory_asked', atMs: 501, request }).map((effect) => effect.type === 'answer' && effect.isGranted), [true])
 })
 
-test('those that wait for a replica that is lost are told at once', () => {
+test('pending bookings fail at once when their replica is lost', () => {
   const state = createLedger([{ requestId: 'x', tokensInMemory: 8_000, eventsMade: 5 }])
-  send(state, { type: 'memory_asked', atMs: 1, request: askOf('a', 4_000) })
+  send(state, { type: 'memory_asked', atMs: 1, request: bookingRequestOf('a', 4_000) })
   assert.equal(send(state, { type: 'report_failed', atMs: 400 }), [{ type: 'replica_lost', bookingId: 'a/1' }])
-  assert.equal(send(state, { type: 'memory_asked', atMs: 401, request: askOf('b', 1_000) }), [{ type: 'replica_lost', bookingId: 'b/1' }])
+  assert.equal(send(state, { type: 'memory_asked', atMs: 401, request: bookingRequestOf('b', 1_000) }), [{ type: 'replica_lost', bookingId: 'b/1' }])
 })
 
 test('a confirmation does not wait for a replica that is lost', () => {
   const state = createLedger()
-  send(state, { type: 'memory_asked', atMs: 1, request: askOf('a', 4_000) })
+  send(state, { type: 'memory_asked', atMs: 1, request: bookingRequestOf('a', 4_000) })
   send(state, { type: 'confirm_asked', atMs: 2, bookingId: 'a/1', maxWaitMs: 400 })
   assert.equal(send(state, { type: 'report_failed', atMs: 3 }), [{ type: 'confirmed', bookingId: 'a/1', isFree: false }])
 })
 
-test('late ones are held while nobody on time waits, and refused at a crowded replica', () => {
+test('late requests are held while no request that can meet its target waits, and refused at an overloaded replica', () => {
   const state = createLedger([{ requestId: 'x', tokensInMemory: 8_000, eventsMade: 5 }])
-  send(state, { type: 'memory_asked', atMs: 1, request: askOf('late', 4_000, { targetMs: 0 }) })
+  send(state, { type: 'memory_asked', atMs: 1, request: bookingRequestOf('late', 4_000, { targetMs: 0 }) })
   assert.equal(send(state, { type: 'time_passed', atMs: 400 }), [])
-  send(state, { type: 'memory_asked', atMs: 401, request: askOf('on-time', 4_000) })
+  send(state, { type: 'memory_asked', atMs: 401, request: bookingRequestOf('on-time', 4_000) })
   const [answer] = send(state, { type: 'time_passed', atMs: 700 })
   assert.is(answer?.type === 'answer' && `${answer.bookingId} ${answer.isGranted}`, 'late/1 false')
   assert.equal(state.waiting.map(({ bookingId }) => bookingId), ['on-time/1'])
 })
 
-test('a replica is crowded until it has been calm for a while', () => {
+test('a replica is overloaded until no request that can meet its target has waited for a while', () => {
   const state = createLedger([{ requestId: 'x', tokensInMemory: 8_000, eventsMade: 5 }])
-  send(state, { type: 'memory_asked', atMs: 1, request: askOf('on-time', 4_000) })
+  send(state, { type: 'memory_asked', atMs: 1, request: bookingRequestOf('on-time', 4_000) })
   send(state, { type: 'ask_withdrawn', atMs: 300, bookingId: 'on-time/1' })
   assert.is(state.overloadedSinceMs, 1)
   send(state, { type: 'time_passed', atMs: 800 })
   assert.is(state.overloadedSinceMs, undefined)
 })
 
-test('a ledger that stood still grants nothing by what it knew before', () => {
+test('after a process pause the ledger grants nothing based on its previous report', () => {
   const state = createLedger()
-  const effects = reduceLedger(state, { type: 'memory_asked', atMs: 4_000, request: askOf('a', 4_000) })
+  const effects = reduceLedger(state, { type: 'memory_asked', atMs: 4_000, request: bookingRequestOf('a', 4_000) })
   assert.equal(effects, [{ type: 'read_report' }])
   const full = reportOf([{ requestId: 'x', tokensInMemory: 8_000, eventsMade: 5 }])
   assert.equal(send(state, { type: 'report_read', atMs: 4_010, askedAtMs: 4_005, report: full }), [])
   assert.equal(send(state, { type: 'report_read', atMs: 4_500, askedAtMs: 4_495, report: reportOf([]) }), [{ type: 'answer', bookingId: 'a/1', isGranted: true, retryAfterMs: 0 }])
 })
 
-test('a report that lay in the connection of a ledger that stood still tells nothing', () => {
+test('a report that was buffered in the connection during a process pause is ignored', () => {
   const state = createLedger([{ requestId: 'x', tokensInMemory: 8_000, eventsMade: 5 }])
   assert.equal(send(state, { type: 'report_read', atMs: 5_000, askedAtMs: 1_000, report: reportOf([]) }), [])
   assert.is(state.report?.usedTokens, 8_000)
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterLimitWorld.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterLimitWorld.test.ts
@@ -3,41 +3,41 @@
 import { playLimitWorld } from './LimitWorld.js'
 import type { KeeperFault, LimitWorldPlay } from './LimitWorld.js'
 
-const PLAY: LimitWorldPlay = { seed: 3, way: 'leased_permits', entries: 1, perS: 5.1, demand: 6, spread: 'all_entries', seconds: 30 }
-const ENTRIES = [1, 5, 84, 840]
-const LEAST_USED = 0.9
+const SCENARIO: LimitWorldPlay = { seed: 3, way: 'leased_permits', entries: 1, perS: 5.1, demand: 6, spread: 'all_entries', seconds: 30 }
+const ENTRY_COUNTS = [1, 5, 84, 840]
+const MIN_USED_SHARE = 0.9
 
-for (const entries of ENTRIES) {
+for (const entries of ENTRY_COUNTS) {
   for (const spread of ['all_entries', 'one_entry'] as const) {
     for (const perS of [0.2, 5.1, 100]) {
-      test(`${entries} entries keep a limit of ${perS} a second together and use it, callers at ${spread}`, () => {
-        const { over, usedShare } = playLimitWorld({ ...PLAY, entries, spread, perS })
+      test(`${entries} entries together stay within a limit of ${perS} requests a second and use it, callers at ${spread}`, () => {
+        const { over, usedShare } = playLimitWorld({ ...SCENARIO, entries, spread, perS })
         assert.is(over, 0)
-        if (perS > 1) assert.ok(usedShare >= LEAST_USED, `used ${usedShare}`)
+        if (perS > 1) assert.ok(usedShare >= MIN_USED_SHARE, `used ${usedShare}`)
       })
     }
   }
-  for (const keeperFault of ['killed', 'frozen', 'cut_off'] as readonly KeeperFault[]) {
-    test(`${entries} entries keep a limit together while its keeper is ${keeperFault} again and again`, () => {
-      for (const seed of [1, 2, 3]) assert.is(playLimitWorld({ ...PLAY, seed, entries, keeperFault }).over, 0)
+  for (const leaderFault of ['killed', 'frozen', 'cut_off'] as readonly KeeperFault[]) {
+    test(`${entries} entries together stay within a limit while its leader is ${leaderFault} repeatedly`, () => {
+      for (const seed of [1, 2, 3]) assert.is(playLimitWorld({ ...SCENARIO, seed, entries, keeperFault: leaderFault }).over, 0)
     })
   }
 }
 
-test('what was sent before a limit was named is held back from the first permits', () => {
+test('requests sent before a limit was advertised are deducted from the first permits', () => {
   for (const beforePerS of [2, 5, 10, 15]) {
-    const { over, usedShare } = playLimitWorld({ ...PLAY, entries: 5, perS: 2.3, beforePerS })
-    assert.is(over, 0, `${beforePerS} a second before`)
-    assert.ok(usedShare >= LEAST_USED, `used ${usedShare}`)
+    const { over, usedShare } = playLimitWorld({ ...SCENARIO, entries: 5, perS: 2.3, beforePerS })
+    assert.is(over, 0, `${beforePerS} requests a second before`)
+    assert.ok(usedShare >= MIN_USED_SHARE, `used ${usedShare}`)
   }
 })
 
-test('equal shares of an entry each are too small for callers at one of them', () => {
-  assert.ok(playLimitWorld({ ...PLAY, entries: 84, way: 'equal_shares', spread: 'one_entry' }).usedShare < 0.1)
+test('equal shares per entry are too small when all callers use one entry', () => {
+  assert.ok(playLimitWorld({ ...SCENARIO, entries: 84, way: 'equal_shares', spread: 'one_entry' }).usedShare < 0.1)
 })
 
-test('leased permits take fewer calls between entries than an ask for each send', () => {
-  const calls = (way: 'leased_permits' | 'each_send'): number => playLimitWorld({ ...PLAY, entries: 5, perS: 100, way }).callsPerS
+test('leased permits need fewer calls between entries than a request per send', () => {
+  const calls = (strategy: 'leased_permits' | 'each_send'): number => playLimitWorld({ ...SCENARIO, entries: 5, perS: 100, way: strategy }).callsPerS
   assert.ok(calls('leased_permits') < calls('each_send') / 2)
 })
 
