--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterCrashes.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterCrashes.test.ts
@@ -48,7 +48,7 @@
   assert.is(wronglyRefused, 0)
 })
 
-// Crash reports of one loss arrive one after the other, and a zone may fail in two halves; both must count as one event.
+// Crash reports of one loss arrive one after the other, and an availability zone may fail in two halves; both must count as one event.
 for (const { name, ...delays } of [{ name: 'in two steps', zoneStepMs: 500 }, { name: 'and crash reports are late', reportMs: 2_000 }, { name: 'in two steps and crash reports are late', zoneStepMs: 500, reportMs: 2_000 }]) {
   test(`no request is refused when an availability zone is lost ${name}`, () => {
     for (let seed = 1; seed <= DELAY_SEEDS; seed++) {
@@ -67,7 +67,7 @@
 
 // Three entries each report that another process ended, at the same time. The ages in a report are used only for
 // registered processes: while these are registered, the crashes count as one event, otherwise as three.
-test('reported crashes count as one event while their copies overlap, and one by one after a second', () => {
+test('reported crashes count as one event while their copies overlap, and separately after a second', () => {
   const simulation = createSingleAttemptSimulation()
   const ages = { knownMs: 10, sentMs: 60 }
   for (const [index, { replicaId }] of PLAIN.slice(0, 3).entries()) {
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterLoad.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterLoad.test.ts
@@ -11,7 +11,7 @@
 
 // The figures are streams on time as callers see them. The gains of the mechanisms were overstated while the
 // simulation responded to an announced prompt as to a requested one and the entry sent the prompt a second time.
-test('a burst beyond one prefill replica is processed on the decode replicas: 129 of 152 on time before, 134 after', () => {
+test('a burst that one prefill replica cannot process is processed on the decode replicas: 129 of 152 on time before, 134 after', () => {
   const before = playLoad({ ...BURST, decisions: { read: 'apart' } })
   const after = playLoad(BURST)
   assert.ok(after.onTime >= 130, `${after.onTime}`)
