--- a/packages/bendfall-router/src/__tests__/unit/CrashWorld.ts
+++ b/packages/bendfall-router/src/__tests__/unit/CrashWorld.ts
@@ -3,63 +3,65 @@
 import { configOf, plainRoute, replicaOf } from './RouterWorld.js'
 import { VirtualTime } from './VirtualTime.js'
 
-/** Entries before replicas that crash, in virtual time. */
+/** Scenario of entries that send requests to crashing replicas, in virtual time. */
 export interface CrashPlay {
   readonly seed: number
   readonly entries: number
   readonly replicas: number
   readonly seconds: number
-  /** Requests of all callers a second: half of them for one path, half each for its own. */
+  /** Requests per second of all callers: half of them share one fingerprint, the others each have their own. */
   readonly perSecond: number
-  /** Request that crashes what runs it: times between two of its arrivals. */
+  /** Interval between the arrivals of a request that crashes every replica that runs it. */
   readonly poisonEachMs?: number
-  /** Of these some arrive at once, at different entries. */
+  /** Number of copies of that request that arrive at the same time, at randomly chosen entries. */
   readonly poisonsAtOnce?: number
-  /** Time between two crashes that no request causes. */
+  /** Interval between crashes that no request causes. */
   readonly crashEachMs?: number
-  /** When a third of the replicas crash at once. */
+  /** Time at which a third of the replicas crash. */
   readonly zoneLostAtMs?: number
-  /** How much later than the first half of that third the second half crashes. */
+  /** Delay between the crashes of the first and the second half of that third. */
   readonly zoneStepMs?: number
-  /** Longest way of a report. */
+  /** Maximum additional delay of a crash report between entries. */
   readonly reportMs?: number
 }
 
-/** What came of a play. */
+/** Result of a scenario. */
 export interface CrashOutcome {
   readonly asked: number
-  /** Requests other than the one that crashes replicas, refused as if they did. */
+  /** Requests that were refused as a cause of crashes although they cause none. */
   readonly wronglyRefused: number
-  /** Sends of that one later than the time in which all know of its third crash. */
+  /** Sends of the crashing request after the time by which all entries must know of its third crash. */
   readonly lateSends: number
-  /** Replicas that ended while they ran it, whatever the cause. */
+  /** Replicas that crashed while they ran the crashing request, whatever the cause. */
   readonly poisonCrashes: number
-  /** Reports that entries wrote. */
+  /** Crash reports published by the entries. */
   readonly reports: number
 }
 
 const POISON = 'poison'
-const CONTACT_MS = 3_000
-const LIMIT = 3
+/** Time after its third crash by which all entries must refuse a request. */
+const KNOWN_WITHIN_MS = 3_000
+/** Crashes after which a request is refused. */
+const MAX_CRASHES = 3
 const WARM_UP_MS = 1_000
-const BEGIN_MS = 40
-const ANSWER_MS = 60
+const CRASH_DELAY_MS = 40
+const RESPONSE_MS = 60
 const CALL_MS = 5
-const BACK_MS = 2_000
-const LAPSE_MS = 2_500
-const TOLD_MS = 50
-const WATCH_MS = 700
+const RESTART_MS = 2_000
+const REGISTRATION_TTL_MS = 2_500
+const MIN_REPORT_DELAY_MS = 50
+const MAX_WATCH_DELAY_MS = 700
 
 interface Running { readonly entry: number, readonly key: string, readonly attempt: number }
 
 interface Process { readonly replica: Replica, readonly running: Set<Running>, hasEnded: boolean }
 
-/** Plays it. */
-export function playCrashes (play: CrashPlay): CrashOutcome {
-  return new CrashWorld(play).play()
+/** Simulates a crash scenario. */
+export function playCrashes (scenario: CrashPlay): CrashOutcome {
+  return new CrashSimulation(scenario).simulate()
 }
 
-class CrashWorld {
+class CrashSimulation {
   private readonly entries: RouterState[]
   private readonly time: VirtualTime
   private readonly processes = new Map<string, Process>()
@@ -70,27 +72,27 @@
   private asked = 0
   private reports = 0
 
-  constructor (private readonly plan: CrashPlay) {
-    this.time = new VirtualTime(plan.seed)
-    this.entries = Array.from({ length: plan.entries }, (_, i) => createRouterState(plan.seed + i, `entry-${i}`))
+  constructor (private readonly scenario: CrashPlay) {
+    this.time = new VirtualTime(scenario.seed)
+    this.entries = Array.from({ length: scenario.entries }, (_, i) => createRouterState(scenario.seed + i, `entry-${i}`))
     const config = configOf(1, [plainRoute({ maxAttempts: 2 })])
-    const first = Array.from({ length: plan.replicas }, () => this.createProcess())
-    for (let i = 0; i < plan.entries; i++) {
+    const first = Array.from({ length: scenario.replicas }, () => this.createProcess())
+    for (let i = 0; i < scenario.entries; i++) {
       this.reduce(i, { type: 'config_learned', atMs: 0, config })
       this.reduce(i, { type: 'replicas_changed', atMs: 0, present: first, gone: [] })
-      for (let atMs = TICK_MS; atMs < plan.seconds * 1_000; atMs += TICK_MS) this.time.at(atMs, () => this.reduce(i, { type: 'time_passed', atMs: this.time.nowMs }))
+      for (let atMs = TICK_MS; atMs < scenario.seconds * 1_000; atMs += TICK_MS) this.time.at(atMs, () => this.reduce(i, { type: 'time_passed', atMs: this.time.nowMs }))
     }
   }
 
-  play (): CrashOutcome {
-    const { crashEachMs, perSecond, poisonEachMs, poisonsAtOnce = 1, seconds, zoneLostAtMs, zoneStepMs = 0 } = this.plan
+  simulate (): CrashOutcome {
+    const { crashEachMs, perSecond, poisonEachMs, poisonsAtOnce = 1, seconds, zoneLostAtMs, zoneStepMs = 0 } = this.scenario
     const endMs = seconds * 1_000
-    for (let i = 0; i < perSecond * seconds; i++) this.time.at(this.time.draw() * endMs, () => this.ask(i % 2 === 0 ? 'polled' : `own-${i}`))
-    this.repeat(poisonEachMs, () => { for (let i = 0; i < poisonsAtOnce; i++) this.ask(POISON) })
-    this.repeat(crashEachMs, () => this.crash(this.drawProcess()))
-    if (zoneLostAtMs !== undefined) this.time.at(zoneLostAtMs, () => this.loseZone(zoneStepMs))
+    for (let i = 0; i < perSecond * seconds; i++) this.time.at(this.time.draw() * endMs, () => this.submit(i % 2 === 0 ? 'polled' : `own-${i}`))
+    this.repeat(poisonEachMs, () => { for (let i = 0; i < poisonsAtOnce; i++) this.submit(POISON) })
+    this.repeat(crashEachMs, () => this.crash(this.pickProcess()))
+    if (zoneLostAtMs !== undefined) this.time.at(zoneLostAtMs, () => this.crashZone(zoneStepMs))
     this.time.playUntil(endMs)
-    const knownAtMs = (this.poisonCrashes[LIMIT - 1] ?? Infinity) + CONTACT_MS
+    const knownAtMs = (this.poisonCrashes[MAX_CRASHES - 1] ?? Infinity) + KNOWN_WITHIN_MS
     return {
       asked: this.asked,
       wronglyRefused: this.wronglyRefused.size,
@@ -100,17 +102,17 @@
     }
   }
 
-  private loseZone (stepMs: number): void {
-    const lost = this.alive().filter((_, i) => i % 3 === 0)
-    for (const [i, one] of lost.entries()) this.time.after(i % 2 === 0 ? 0 : stepMs, () => this.crash(one))
+  private crashZone (delayMs: number): void {
+    const crashed = this.alive().filter((_, i) => i % 3 === 0)
+    for (const [i, process] of crashed.entries()) this.time.after(i % 2 === 0 ? 0 : delayMs, () => this.crash(process))
   }
 
-  private repeat (eachMs: number | undefined, act: () => void): void {
-    if (eachMs === undefined) return
-    for (let atMs = WARM_UP_MS; atMs < this.plan.seconds * 1_000; atMs += eachMs) this.time.at(atMs, act)
+  private repeat (intervalMs: number | undefined, run: () => void): void {
+    if (intervalMs === undefined) return
+    for (let atMs = WARM_UP_MS; atMs < this.scenario.seconds * 1_000; atMs += intervalMs) this.time.at(atMs, run)
   }
 
-  private ask (fingerprint: string): void {
+  private submit (fingerprint: string): void {
     const entry = Math.floor(this.time.draw() * this.entries.length)
     const key = `${fingerprint}.${this.asked}`
     this.asked += 1
@@ -125,7 +127,7 @@
     check_replica: (entry, { replicaId, startedAtMs }) => this.time.after(CALL_MS, () => {
       this.reduce(entry, { type: 'replica_checked', atMs: this.time.nowMs, replicaId, startedAtMs, outcome: this.processes.get(replicaId)?.hasEnded === true ? 'ended' : 'alive' })
     }),
-    publish_crashes: (entry, { report }) => this.tell(entry, report),
+    publish_crashes: (entry, { report }) => this.publishReport(entry, report),
     refuse: (_, { key, reason }) => {
       if (reason === 'crashes_replicas' && !key.startsWith(POISON)) this.wronglyRefused.add(key)
     },
@@ -139,9 +141,9 @@
     process.running.add(running)
     if (key.startsWith(POISON)) {
       this.poisonSends.push(this.time.nowMs)
-      return this.time.after(BEGIN_MS, () => this.crash(process))
+      return this.time.after(CRASH_DELAY_MS, () => this.crash(process))
     }
-    this.time.after(ANSWER_MS, () => {
+    this.time.after(RESPONSE_MS, () => {
       if (process.running.delete(running)) this.reduce(entry, { type: 'answer_complete', atMs: this.time.nowMs, key, attempt, status: 200, outputEvents: 0 })
     })
   }
@@ -152,19 +154,19 @@
     if ([...process.running].some(({ key }) => key.startsWith(POISON))) this.poisonCrashes.push(this.time.nowMs)
     for (const { attempt, entry, key } of process.running) this.reduce(entry, { type: 'run_failed', atMs: this.time.nowMs, key, attempt, failure: 'connection_lost' })
     process.running.clear()
-    this.time.after(BACK_MS, () => this.tellReplicas([this.createProcess()], []))
-    this.time.after(LAPSE_MS, () => this.tellReplicas([], [process.replica.replicaId]))
+    this.time.after(RESTART_MS, () => this.updateReplicas([this.createProcess()], []))
+    this.time.after(REGISTRATION_TTL_MS, () => this.updateReplicas([], [process.replica.replicaId]))
   }
 
-  private tellReplicas (present: readonly Replica[], gone: readonly string[]): void {
-    for (let i = 0; i < this.entries.length; i++) this.time.after(this.time.draw() * WATCH_MS, () => this.reduce(i, { type: 'replicas_changed', atMs: this.time.nowMs, present, gone }))
+  private updateReplicas (present: readonly Replica[], gone: readonly string[]): void {
+    for (let i = 0; i < this.entries.length; i++) this.time.after(this.time.draw() * MAX_WATCH_DELAY_MS, () => this.reduce(i, { type: 'replicas_changed', atMs: this.time.nowMs, present, gone }))
   }
 
-  private tell (from: number, report: CrashReport): void {
+  private publishReport (from: number, report: CrashReport): void {
     this.reports += 1
-    const { reportMs = WATCH_MS } = this.plan
+    const { reportMs = MAX_WATCH_DELAY_MS } = this.scenario
     for (let i = 0; i < this.entries.length; i++) {
-      if (i !== from) this.time.after(TOLD_MS + this.time.draw() * reportMs, () => this.reduce(i, { type: 'crash_report_learned', atMs: this.time.nowMs, reporter: `entry-${from}`, report }))
+      if (i !== from) this.time.after(MIN_REPORT_DELAY_MS + this.time.draw() * reportMs, () => this.reduce(i, { type: 'crash_report_learned', atMs: this.time.nowMs, reporter: `entry-${from}`, report }))
     }
   }
 
@@ -179,7 +181,7 @@
     return [...this.processes.values()].filter(({ hasEnded }) => !hasEnded)
   }
 
-  private drawProcess (): Process | undefined {
+  private pickProcess (): Process | undefined {
     const alive = this.alive()
     return alive[Math.floor(this.time.draw() * alive.length)]
   }
--- a/packages/bendfall-router/src/__tests__/unit/LimitWorld.ts
+++ b/packages/bendfall-router/src/__tests__/unit/LimitWorld.ts
@@ -4,233 +4,235 @@
 import type { RecentSends } from '../../entry/BendfallRouterRecentSends.js'
 import { VirtualTime } from './VirtualTime.js'
 
-/** Ways to keep what all entries send to a replica within a limit. */
+/** Strategies that keep the requests of all entries to a replica within a limit. */
 export const LIMIT_WAYS = ['leased_permits', 'each_send', 'equal_shares'] as const
 export type LimitWay = (typeof LIMIT_WAYS)[number]
 
-/** What befalls the keeper, each time for so long. */
+/** Fault of the permit leader that is injected repeatedly. */
 export type KeeperFault = 'killed' | 'frozen' | 'cut_off'
 
-/** Entries before one replica that names a limit. */
+/** Scenario of entries that send to one replica which advertises a limit. */
 export interface LimitWorldPlay {
   readonly seed: number
   readonly way: LimitWay
   readonly entries: number
   readonly perS: number
-  /** Times its limit. */
+  /** Requested rate as a multiple of the limit. */
   readonly demand: number
   readonly spread: 'all_entries' | 'one_entry'
   readonly seconds: number
   readonly keeperFault?: KeeperFault
-  /** Requests a second before the limit is named. */
+  /** Requests per second before the replica advertises the limit; `perS` when absent. */
   readonly beforePerS?: number
 }
 
-/** What came of it. */
+/** Result of a scenario. */
 export interface LimitWorldOutcome {
-  /** Requests over the rule in the worst window, all arrivals counted. */
+  /** Maximum number of requests in a window beyond those that the rule allows, over all arrivals. */
   readonly over: number
-  /** Arrivals of what the limit allows. */
+  /** Share of the limit that was used. */
   readonly usedShare: number
-  /** Calls between entries. */
+  /** Calls between entries per second. */
   readonly callsPerS: number
 }
 
-const NAMED_AT_MS = 2_000
-const CONTACT_MS = 3_000
+const ADVERTISED_AT_MS = 2_000
+/** Time after the limit is advertised from which the rule is enforced. */
+const ENFORCED_AFTER_MS = 3_000
 const WINDOW_MS = 4_000
 const CALL_MS = 1
 const TIMEOUT_MS = 80
-const ANSWER_MS = 40
+const RESPONSE_MS = 40
 
-/** In which all entries hear of the limit through the key-value service. */
-const NEWS_MS = 400
+/** Time within which all entries learn of the limit through the key-value service. */
+const PUBLISH_MS = 400
 
-/** Faults begin so often, and last so long; another process holds the duty a lease after the last word of the keeper. */
-const FAULT_EACH_MS = 7_000
+/** Interval and duration of the faults. Another process becomes leader once the lease has expired after the last renewal. */
+const FAULT_INTERVAL_MS = 7_000
 const FAULT_MS = 2_500
 const LEASE_MS = 2_000
-const LAPSED_SHARE = 0.25
-const LAPSED_MS = 10_000
-
-interface Way {
-  /** Asks whether a request may be sent, at once or after a call. */
-  readonly send: (entry: number, go: () => void) => void
-  /** The entry has heard of the limit. */
-  readonly told: (entry: number) => void
-  /** The entry has sent a request without asking. */
-  readonly sent?: (entry: number) => void
+/** Share that a leader with an expired lease may still lease, and for how long. */
+const EXPIRED_SHARE = 0.25
+const EXPIRED_LEASING_MS = 10_000
+
+interface Strategy {
+  /** Sends a request through `transmit` if it is permitted, immediately or after a call. */
+  readonly send: (entry: number, transmit: () => void) => void
+  /** Handles that the entry learned of the limit. */
+  readonly onLimitLearned: (entry: number) => void
+  /** Handles that the entry sent a request before it knew of the limit. */
+  readonly onUnlimitedSend?: (entry: number) => void
   readonly calls: () => number
 }
 
-/** Plays it. */
-export function playLimitWorld (play: LimitWorldPlay): LimitWorldOutcome {
-  const time = new VirtualTime(play.seed)
-  const way = WAYS[play.way](play, time)
+/** Simulates a limit scenario. */
+export function playLimitWorld (scenario: LimitWorldPlay): LimitWorldOutcome {
+  const time = new VirtualTime(scenario.seed)
+  const strategy = STRATEGIES[scenario.way](scenario, time)
   const arrivals: number[] = []
-  const told = new Set<number>()
-  const endMs = play.seconds * 1_000
-  const tell = (entry: number): void => {
-    if (told.size === 0) time.after(NEWS_MS, () => { for (let one = 0; one < play.entries; one++) tell(one) })
-    if (!told.has(entry)) way.told(entry)
-    told.add(entry)
+  const informed = new Set<number>()
+  const endMs = scenario.seconds * 1_000
+  const informEntry = (entry: number): void => {
+    if (informed.size === 0) time.after(PUBLISH_MS, () => { for (let one = 0; one < scenario.entries; one++) informEntry(one) })
+    if (!informed.has(entry)) strategy.onLimitLearned(entry)
+    informed.add(entry)
   }
   const arrive = (entry: number): void => {
     time.after(CALL_MS, () => {
       arrivals.push(time.nowMs)
-      if (time.nowMs < NAMED_AT_MS) return
-      time.after(ANSWER_MS * (0.5 + time.draw()), () => tell(entry))
+      if (time.nowMs < ADVERTISED_AT_MS) return
+      time.after(RESPONSE_MS * (0.5 + time.draw()), () => informEntry(entry))
     })
   }
   const request = (): void => {
-    const entry = play.spread === 'one_entry' ? 0 : Math.floor(time.draw() * play.entries)
-    if (told.has(entry)) way.send(entry, () => arrive(entry))
+    const entry = scenario.spread === 'one_entry' ? 0 : Math.floor(time.draw() * scenario.entries)
+    if (informed.has(entry)) strategy.send(entry, () => arrive(entry))
     else {
-      way.sent?.(entry)
+      strategy.onUnlimitedSend?.(entry)
       arrive(entry)
     }
-    const perS = time.nowMs < NAMED_AT_MS ? play.beforePerS ?? play.perS : play.demand * play.perS
+    const perS = time.nowMs < ADVERTISED_AT_MS ? scenario.beforePerS ?? scenario.perS : scenario.demand * scenario.perS
     time.after(-Math.log(1 - time.draw()) * 1_000 / perS, request)
   }
   request()
   time.playUntil(endMs)
-  const since = arrivals.filter((atMs) => atMs >= NAMED_AT_MS + CONTACT_MS)
-  return { over: worstOver(play, arrivals), usedShare: since.length / (play.perS * (endMs - NAMED_AT_MS - CONTACT_MS) / 1_000), callsPerS: way.calls() / play.seconds }
+  const enforced = arrivals.filter((atMs) => atMs >= ADVERTISED_AT_MS + ENFORCED_AFTER_MS)
+  return { over: maxExcess(scenario, arrivals), usedShare: enforced.length / (scenario.perS * (endMs - ADVERTISED_AT_MS - ENFORCED_AFTER_MS) / 1_000), callsPerS: strategy.calls() / scenario.seconds }
 }
 
-// The windows that count begin a second before the limit was named.
-function worstOver ({ perS }: LimitWorldPlay, arrivals: readonly number[]): number {
+// Windows are checked from the one that starts a second before the limit is advertised.
+function maxExcess ({ perS }: LimitWorldPlay, arrivals: readonly number[]): number {
   const allowed = 1.5 * perS * WINDOW_MS / 1_000 + 5
   let first = 0
-  let worst = 0
+  let excess = 0
   for (const [index, atMs] of arrivals.entries()) {
     while ((arrivals[first] as number) <= atMs - WINDOW_MS) first += 1
-    if (atMs >= NAMED_AT_MS + CONTACT_MS) worst = Math.max(worst, index - first + 1 - allowed)
+    if (atMs >= ADVERTISED_AT_MS + ENFORCED_AFTER_MS) excess = Math.max(excess, index - first + 1 - allowed)
   }
-  return Math.ceil(worst)
+  return Math.ceil(excess)
 }
 
-interface Keepers {
-  /** Asks the keeper that an entry knows; undefined after the time of a call that has no answer. */
-  readonly ask: <T>(entry: number, take: (keeper: PermitLeaderState, share: number) => T, done: (answer: T | undefined) => void) => void
+interface LeaderClients {
+  /** Calls the leader that the entry knows; the response is undefined after a timeout. */
+  readonly call: <T>(entry: number, handle: (leader: PermitLeaderState, share: number) => T, onResponse: (response: T | undefined) => void) => void
   readonly calls: () => number
 }
 
-interface KeptBy {
-  keeper: PermitLeaderState
-  /** Reached by all, by none, or only by entries that the store cuts off as well: every fourth one. */
+interface LeaderProcess {
+  leader: PermitLeaderState
+  /** Reachable by all entries, by none, or, if it is cut off from the store, only by the entries that are cut off too: every fourth one. */
   state: 'well' | KeeperFault
-  heldUntilMs: number
+  leaseUntilMs: number
 }
 
-function playKeepers ({ entries, keeperFault }: LimitWorldPlay, time: VirtualTime): Keepers {
+function simulateLeaders ({ entries, keeperFault }: LimitWorldPlay, time: VirtualTime): LeaderClients {
   let calls = 0
-  let now: KeptBy = { keeper: createPermitLeaderState(0), state: 'well', heldUntilMs: Infinity }
-  let former: KeptBy | undefined
+  let current: LeaderProcess = { leader: createPermitLeaderState(0), state: 'well', leaseUntilMs: Infinity }
+  let previous: LeaderProcess | undefined
   const isCutOff = (entry: number): boolean => entry % 4 === 0
   const fail = (): void => {
-    const failing = now
+    const failing = current
     failing.state = keeperFault as KeeperFault
-    failing.heldUntilMs = time.nowMs + LEASE_MS
-    if (keeperFault === 'frozen') time.after(FAULT_MS, () => { if (now === failing) Object.assign(failing, { state: 'well', heldUntilMs: Infinity }) })
+    failing.leaseUntilMs = time.nowMs + LEASE_MS
+    if (keeperFault === 'frozen') time.after(FAULT_MS, () => { if (current === failing) Object.assign(failing, { state: 'well', leaseUntilMs: Infinity }) })
     time.after(LEASE_MS + 300, () => {
       if (failing.state === 'well') return
-      former = failing
-      now = { keeper: createPermitLeaderState(time.nowMs), state: 'well', heldUntilMs: Infinity }
+      previous = failing
+      current = { leader: createPermitLeaderState(time.nowMs), state: 'well', leaseUntilMs: Infinity }
     })
-    time.after(FAULT_EACH_MS, fail)
+    time.after(FAULT_INTERVAL_MS, fail)
   }
-  if (keeperFault !== undefined) time.after(FAULT_EACH_MS / 2, fail)
+  if (keeperFault !== undefined) time.after(FAULT_INTERVAL_MS / 2, fail)
 
-  function shareOf (kept: KeptBy, entry: number): number {
-    if (kept.state === 'killed' || kept.state === 'frozen') return 0
-    if (kept.state === 'cut_off' && kept !== former && time.nowMs < kept.heldUntilMs) return 1
-    if (kept.state === 'cut_off') return isCutOff(entry) || kept === now ? time.nowMs < kept.heldUntilMs + LAPSED_MS ? LAPSED_SHARE : 0 : 0
+  function shareOf (process: LeaderProcess, entry: number): number {
+    if (process.state === 'killed' || process.state === 'frozen') return 0
+    if (process.state === 'cut_off' && process !== previous && time.nowMs < process.leaseUntilMs) return 1
+    if (process.state === 'cut_off') return isCutOff(entry) || process === current ? time.nowMs < process.leaseUntilMs + EXPIRED_LEASING_MS ? EXPIRED_SHARE : 0 : 0
     return 1
   }
 
   return {
     calls: () => calls,
-    ask: (entry, take, done) => {
+    call: (entry, handle, onResponse) => {
       calls += entries === 1 ? 0 : 1
-      const kept = former?.state === 'cut_off' && isCutOff(entry) ? former : now
+      const process = previous?.state === 'cut_off' && isCutOff(entry) ? previous : current
       const delayMs = entries === 1 ? 0 : CALL_MS
       time.after(delayMs, () => {
-        const share = shareOf(kept, entry)
-        if (share === 0) time.after(TIMEOUT_MS - delayMs, () => done(undefined))
+        const share = shareOf(process, entry)
+        if (share === 0) time.after(TIMEOUT_MS - delayMs, () => onResponse(undefined))
         else {
-          const answer = take(kept.keeper, share)
-          time.after(delayMs, () => done(answer))
+          const response = handle(process.leader, share)
+          time.after(delayMs, () => onResponse(response))
         }
       })
     }
   }
 }
 
-// As the router does: leased ahead of the requests, and one ask at a time.
-function playLeases (play: LimitWorldPlay, time: VirtualTime): Way {
-  const keepers = playKeepers(play, time)
-  const known = Array.from({ length: play.entries }, (): ReplicaLimits => new Map())
-  const recent = Array.from({ length: play.entries }, createRecentSends)
-  const waiting = Array.from({ length: play.entries }, (): Array<() => void> => [])
-
-  function ask (entry: number, limit: ReplicaLimit): void {
-    const asked: PermitRequest = createPermitRequest(limit, `e${entry}`, time.nowMs)
-    keepers.ask<PermitOutcome>(entry, (keeper, share) => leasePermits(keeper, asked, time.nowMs, share), (outcome) => {
-      applyPermitOutcome(known[entry] as ReplicaLimits, limit, asked, outcome ?? { type: 'unreachable' }, time.nowMs)
-      for (const go of (waiting[entry] as Array<() => void>).splice(0)) trySend(limit, go)
+// Like the router: leases permits ahead of the requests, with one permit request at a time.
+function createLeasedPermits (scenario: LimitWorldPlay, time: VirtualTime): Strategy {
+  const leaders = simulateLeaders(scenario, time)
+  const limitsOfEntries = Array.from({ length: scenario.entries }, (): ReplicaLimits => new Map())
+  const recentSends = Array.from({ length: scenario.entries }, createRecentSends)
+  const waiting = Array.from({ length: scenario.entries }, (): Array<() => void> => [])
+
+  function requestPermits (entry: number, limit: ReplicaLimit): void {
+    const request: PermitRequest = createPermitRequest(limit, `e${entry}`, time.nowMs)
+    leaders.call<PermitOutcome>(entry, (leader, share) => leasePermits(leader, request, time.nowMs, share), (outcome) => {
+      applyPermitOutcome(limitsOfEntries[entry] as ReplicaLimits, limit, request, outcome ?? { type: 'unreachable' }, time.nowMs)
+      for (const transmit of (waiting[entry] as Array<() => void>).splice(0)) trySend(limit, transmit)
     })
   }
 
-  function trySend (limit: ReplicaLimit, go: () => void): boolean {
+  function trySend (limit: ReplicaLimit, transmit: () => void): boolean {
     if (!hasPermit(limit, time.nowMs)) return false
     usePermit(limit)
-    go()
+    transmit()
     return true
   }
 
   return {
-    calls: keepers.calls,
-    told: (entry) => {
-      const limits = known[entry] as ReplicaLimits
-      applyLimitNotice(limits, 'r', { type: 'named', perS: play.perS }, time.nowMs, time.nowMs)
+    calls: leaders.calls,
+    onLimitLearned: (entry) => {
+      const limits = limitsOfEntries[entry] as ReplicaLimits
+      applyLimitNotice(limits, 'r', { type: 'named', perS: scenario.perS }, time.nowMs, time.nowMs)
       const limit = limits.get('r') as ReplicaLimit
-      limit.sentBefore = countRecentSends(recent[entry], time.nowMs)
-      if (limit.sentBefore > 0) ask(entry, limit)
+      limit.sentBefore = countRecentSends(recentSends[entry], time.nowMs)
+      if (limit.sentBefore > 0) requestPermits(entry, limit)
     },
-    sent: (entry) => recordRecentSend(recent[entry] as RecentSends, time.nowMs),
-    send: (entry, go) => {
-      const limit = known[entry]?.get('r') as ReplicaLimit
-      if (trySend(limit, go)) return
+    onUnlimitedSend: (entry) => recordRecentSend(recentSends[entry] as RecentSends, time.nowMs),
+    send: (entry, transmit) => {
+      const limit = limitsOfEntries[entry]?.get('r') as ReplicaLimit
+      if (trySend(limit, transmit)) return
       limit.wanted += 1
-      if (limit.isAsking || time.nowMs >= limit.nextRequestAtMs) waiting[entry]?.push(go)
-      if (!limit.isAsking && time.nowMs >= limit.nextRequestAtMs) ask(entry, limit)
+      if (limit.isAsking || time.nowMs >= limit.nextRequestAtMs) waiting[entry]?.push(transmit)
+      if (!limit.isAsking && time.nowMs >= limit.nextRequestAtMs) requestPermits(entry, limit)
     }
   }
 }
 
-// The keeper is asked before each send, and no entry keeps anything.
-function playEachSend (play: LimitWorldPlay, time: VirtualTime): Way {
-  const keepers = playKeepers(play, time)
-  const ask = { processName: 'r', perS: play.perS, heardAgoMs: 0, sentAgoMs: 0, wanted: 1, returned: 0, sentBefore: 0 }
+// Requests a permit from the leader before each send; entries keep no state.
+function createPermitPerSend (scenario: LimitWorldPlay, time: VirtualTime): Strategy {
+  const leaders = simulateLeaders(scenario, time)
+  const request = { processName: 'r', perS: scenario.perS, heardAgoMs: 0, sentAgoMs: 0, wanted: 1, returned: 0, sentBefore: 0 }
   return {
-    calls: keepers.calls,
-    told: () => {},
-    send: (entry, go) => keepers.ask(entry, (keeper, share) => leasePermits(keeper, { ...ask, entry: `e${entry}` }, time.nowMs, share), (outcome) => {
-      if (outcome?.type === 'leased' && outcome.permits > 0) go()
+    calls: leaders.calls,
+    onLimitLearned: () => {},
+    send: (entry, transmit) => leaders.call(entry, (leader, share) => leasePermits(leader, { ...request, entry: `e${entry}` }, time.nowMs, share), (outcome) => {
+      if (outcome?.type === 'leased' && outcome.permits > 0) transmit()
     })
   }
 }
 
-// Each entry has the same part, without a message.
-function playShares ({ entries, perS }: LimitWorldPlay, time: VirtualTime): Way {
+// Gives each entry an equal share of the limit, without any messages.
+function createEqualShares ({ entries, perS }: LimitWorldPlay, time: VirtualTime): Strategy {
   const bounds: BucketLimit = { unitsPerS: perS / entries, burstUnits: 1 }
   const buckets = Array.from({ length: entries }, (): TokenBucket => ({ ...createBucket(bounds, 0), units: 1, unknownUnits: 0 }))
   return {
     calls: () => 0,
-    told: () => {},
-    send: (entry, go) => { if (takeUnits(buckets[entry] as TokenBucket, bounds, 1, time.nowMs).type === 'granted') go() }
+    onLimitLearned: () => {},
+    send: (entry, transmit) => { if (takeUnits(buckets[entry] as TokenBucket, bounds, 1, time.nowMs).type === 'granted') transmit() }
   }
 }
 
-const WAYS: Readonly<Record<LimitWay, (play: LimitWorldPlay, time: VirtualTime) => Way>> = { leased_permits: playLeases, each_send: playEachSend, equal_shares: playShares }
+const STRATEGIES: Readonly<Record<LimitWay, (scenario: LimitWorldPlay, time: VirtualTime) => Strategy>> = { leased_permits: createLeasedPermits, each_send: createPermitPerSend, equal_shares: createEqualShares }
--- a/packages/bendfall-router/src/__tests__/unit/LoadWorld.ts
+++ b/packages/bendfall-router/src/__tests__/unit/LoadWorld.ts
@@ -3,32 +3,32 @@
 import { configOf, replicaOf, summaryRoute } from './RouterWorld.js'
 import { VirtualTime } from './VirtualTime.js'
 
-/** Load that is played: streams of 3,200 prompt tokens on average and 640 of output. */
+/** Load of a simulation: streams with an average of 3,200 prompt tokens and 640 output tokens. */
 export interface Load {
   readonly prefills: number
   readonly decodes: number
-  /** Streams a second, by the second of the load. */
+  /** Arrivals of streams in each second of the load. */
   readonly perSecond: readonly number[]
   readonly decisions?: Partial<RouterDecisions>
   /** Seed of arrivals and sizes; 11 when absent. */
   readonly seed?: number
-  /** Part of their mean wait by which callers wait for more or less; 0 when absent. */
+  /** Maximum deviation of the callers' waits from the mean, as a share of it; 0 when absent. */
   readonly waitSpread?: number
-  /** Replicas that go silent for good, and when. */
+  /** Replicas that stop responding permanently, and when. */
   readonly lost?: ReadonlyArray<{ readonly replicaId: string, readonly atMs: number }>
 }
 
-/** What callers got. */
+/** Results as seen by the callers. */
 export interface LoadResult {
   readonly asked: number
-  /** First events within the target, counted from the first try. */
+  /** Streams whose first event arrived within the target, measured from the first attempt. */
   readonly onTime: number
   readonly late: number
-  /** Neither served at once nor when they came back. */
+  /** Streams that were served neither on the first attempt nor on the second. */
   readonly unserved: number
-  /** Longest time that a try was held before it was refused. */
+  /** Longest time from an attempt until its refusal. */
   readonly longestRefusalMs: number
-  /** Prompts sent to be read, and those whose answer or timeout the entry took. */
+  /** Prefills that were sent, and those of them whose response or timeout the entry handled. */
   readonly prefillsSent: number
   readonly prefillsEnded: number
 }
@@ -55,7 +55,7 @@
   readonly outputTokens: number
   readonly hintTokens: number
   readonly firstTryAtMs: number
-  /** Time that it waits in all. */
+  /** Total time that the caller waits, over both attempts. */
   readonly waitMs: number
   tryAtMs: number
   tries: number
@@ -69,22 +69,24 @@
 const HOP_MS = 1
 const TRANSFER_MS = 20
 const REPORT_MS = 50
-const PATIENCE_MS = 14_000
-/** Waits of callers that come one after the other differ: so many steps, a stride from one to the next. */
+/** Mean total wait of a caller. */
+const MEAN_WAIT_MS = 14_000
+/** The waits of successive callers cycle through this number of steps, by this stride, so that neighbors differ. */
 const WAIT_STEPS = 21
 const WAIT_STRIDE = 8
 
-const QUIET_MS = 3_600
+/** Time without a first event after which a caller gives up the attempt. */
+const FIRST_EVENT_TIMEOUT_MS = 3_600
 const TARGET_MS = 900
-const END_MS = 15_000
-const ANNOUNCED_MS = 500
+const DRAIN_MS = 15_000
+const ANNOUNCED_LEAD_MS = 500
 
-/** Plays a load on one entry and the ledgers of its replicas, in virtual time. */
+/** Simulates a load on one entry and the ledgers of its replicas, in virtual time. */
 export function playLoad (load: Load): LoadResult {
-  return new LoadWorld(load).play()
+  return new LoadSimulation(load).simulate()
 }
 
-class LoadWorld {
+class LoadSimulation {
   private readonly entry: RouterState
   private readonly engines = new Map<string, Engine>()
   private readonly callers = new Map<string, Caller>()
@@ -101,25 +103,25 @@
       ...Array.from({ length: load.prefills }, (_, i): [string, ReplicaStage] => [`p${i}`, 'prefill']),
       ...Array.from({ length: load.decodes }, (_, i): [string, ReplicaStage] => [`d${i}`, 'decode'])
     ]
-    this.route({ type: 'config_learned', atMs: 0, config: configOf(1, [summaryRoute()]) })
-    this.route({ type: 'replicas_changed', atMs: 0, present: names.map(([id, stage]) => replicaOf(id, stage)), gone: [] })
+    this.dispatch({ type: 'config_learned', atMs: 0, config: configOf(1, [summaryRoute()]) })
+    this.dispatch({ type: 'replicas_changed', atMs: 0, present: names.map(([id, stage]) => replicaOf(id, stage)), gone: [] })
     for (const [replicaId, stage] of names) {
       this.engines.set(replicaId, { replicaId, stage, ledger: createLedgerState(decisions), runs: new Map(), busyUntilMs: 0, isLost: false })
       this.report(replicaId)
     }
   }
 
-  play (): LoadResult {
-    for (const { atMs, replicaId } of this.load.lost ?? []) this.time.at(atMs, () => { this.engineAt(replicaId).isLost = true })
-    this.load.perSecond.forEach((count, second) => this.planArrivals(count, second * 1_000))
-    const endMs = this.load.perSecond.length * 1_000 + END_MS
+  simulate (): LoadResult {
+    for (const { atMs, replicaId } of this.load.lost ?? []) this.time.at(atMs, () => { this.findEngine(replicaId).isLost = true })
+    this.load.perSecond.forEach((count, second) => this.scheduleArrivals(count, second * 1_000))
+    const endMs = this.load.perSecond.length * 1_000 + DRAIN_MS
     this.time.playUntil(endMs)
     const outcomes = [...this.callers.values()].map(({ outcome }) => outcome ?? 'unserved')
-    const countOf = (outcome: string): number => outcomes.filter((one) => one === outcome).length
+    const countOf = (outcome: string): number => outcomes.filter((other) => other === outcome).length
     return { asked: outcomes.length, onTime: countOf('on_time'), late: countOf('late'), unserved: countOf('unserved'), longestRefusalMs: this.longestRefusalMs, prefillsSent: this.prefillsSent, prefillsEnded: this.prefillsEnded }
   }
 
-  private planArrivals (count: number, fromMs: number): void {
+  private scheduleArrivals (count: number, fromMs: number): void {
     for (let i = 0; i < count; i++) this.time.at(fromMs + this.time.draw() * 1_000, () => this.arrive())
   }
 
@@ -127,25 +129,25 @@
     const outputTokens = Math.round(640 * Math.exp(0.6 * (this.time.draw() + this.time.draw() + this.time.draw() - 1.5) * 2) * 0.85)
     const hintTokens = Math.round(outputTokens * Math.exp((this.time.draw() - 0.5)))
     const caller = { promptTokens: Math.round(1_200 + 4_000 * this.time.draw()), outputTokens, hintTokens, firstTryAtMs: this.time.nowMs, waitMs: this.waitOf(this.callers.size), tryAtMs: this.time.nowMs, tries: 0 }
-    this.ask(`${this.callers.size}`, caller)
+    this.submit(`${this.callers.size}`, caller)
   }
 
-  // Not drawn, so that the load stays the same.
+  // Does not use the random generator, so that the load is the same for every spread.
   private waitOf (index: number): number {
-    const place = (index * WAIT_STRIDE % WAIT_STEPS) / (WAIT_STEPS - 1)
-    return PATIENCE_MS * (1 + (this.load.waitSpread ?? 0) * (2 * place - 1))
+    const position = (index * WAIT_STRIDE % WAIT_STEPS) / (WAIT_STEPS - 1)
+    return MEAN_WAIT_MS * (1 + (this.load.waitSpread ?? 0) * (2 * position - 1))
   }
 
-  private ask (name: string, caller: Caller): void {
+  private submit (name: string, caller: Caller): void {
     this.callers.set(name, caller)
     caller.tries += 1
     caller.tryAtMs = this.time.nowMs
     const key = `${name}.${caller.tries}`
     const prompt = { promptTokens: caller.promptTokens, maxOutputTokens: 1_600, outputHintTokens: caller.hintTokens }
     const deadlineMs = caller.waitMs - (this.time.nowMs - caller.firstTryAtMs)
-    this.route({ type: 'request_arrived', atMs: this.time.nowMs, arrival: { key, requestId: key, fingerprint: name, host: 'quotes.example', path: '/summaries/1', deadlineMs, prompt } })
-    this.time.after(QUIET_MS, () => {
-      if (caller.outcome === undefined && this.entry.requests.has(key)) this.route({ type: 'caller_left', atMs: this.time.nowMs, key })
+    this.dispatch({ type: 'request_arrived', atMs: this.time.nowMs, arrival: { key, requestId: key, fingerprint: name, host: 'quotes.example', path: '/summaries/1', deadlineMs, prompt } })
+    this.time.after(FIRST_EVENT_TIMEOUT_MS, () => {
+      if (caller.outcome === undefined && this.entry.requests.has(key)) this.dispatch({ type: 'caller_left', atMs: this.time.nowMs, key })
     })
   }
 
@@ -153,66 +155,66 @@
     return this.callers.get(key.slice(0, key.indexOf('.'))) as Caller
   }
 
-  private route (event: RouterEvent): void {
-    for (const effect of reduceRouter(this.entry, event)) this.carryOut(effect)
+  private dispatch (event: RouterEvent): void {
+    for (const effect of reduceRouter(this.entry, event)) this.handleEffect(effect)
   }
 
   private readonly effects: { readonly [T in RouterEffect['type']]?: (effect: RouterEffectOf<T>) => void } = {
     abort_send: ({ key }) => { for (const engine of this.engines.values()) engine.runs.delete(key) },
     ask_loads: (effect) => this.askLoads(effect),
-    announce_prefill: (effect) => this.tellLedger(effect.replicaId, {
+    announce_prefill: (effect) => this.sendToLedger(effect.replicaId, {
       type: 'memory_asked',
       atMs: 0,
-      request: { ...effect, requestId: requestOf(effect.bookingId), hintTokens: 0, maxOutputTokens: 0, leadMs: ANNOUNCED_MS, maxWaitMs: 0, priority: 0, targetMs: 0, readsInPlace: false }
+      request: { ...effect, requestId: requestIdOf(effect.bookingId), hintTokens: 0, maxOutputTokens: 0, leadMs: ANNOUNCED_LEAD_MS, maxWaitMs: 0, priority: 0, targetMs: 0, readsInPlace: false }
     }),
-    confirm: ({ bookingId, maxWaitMs, replicaId }) => this.tellLedger(replicaId, { type: 'confirm_asked', atMs: 0, bookingId, maxWaitMs }),
+    confirm: ({ bookingId, maxWaitMs, replicaId }) => this.sendToLedger(replicaId, { type: 'confirm_asked', atMs: 0, bookingId, maxWaitMs }),
     queue_prefill: (effect) => this.book(effect),
-    refresh_replicas: () => this.time.after(HOP_MS, () => this.route({ type: 'replicas_refreshed', atMs: this.time.nowMs })),
+    refresh_replicas: () => this.time.after(HOP_MS, () => this.dispatch({ type: 'replicas_refreshed', atMs: this.time.nowMs })),
     refuse: (effect) => this.refuse(effect),
-    release: ({ bookingId, replicaId }) => this.tellLedger(replicaId, { type: 'ask_withdrawn', atMs: 0, bookingId }),
+    release: ({ bookingId, replicaId }) => this.sendToLedger(replicaId, { type: 'ask_withdrawn', atMs: 0, bookingId }),
     reserve: (effect) => this.book(effect),
     send_prefill: (effect) => this.prefill(effect),
     send_run: (effect) => this.run(effect)
   }
 
-  // What is not in the table changes nothing in this world.
-  private carryOut (effect: RouterEffect): void {
-    const act = this.effects[effect.type] as ((effect: RouterEffect) => void) | undefined
-    act?.(effect)
+  // Effects without a handler do not affect this simulation.
+  private handleEffect (effect: RouterEffect): void {
+    const handler = this.effects[effect.type] as ((effect: RouterEffect) => void) | undefined
+    handler?.(effect)
   }
 
   private book (effect: RouterEffectOf<'reserve'> | RouterEffectOf<'queue_prefill'>): void {
-    const ask = effect.type === 'reserve' ? effect : { ...effect, hintTokens: 0, maxOutputTokens: 0, readsInPlace: false }
+    const parameters = effect.type === 'reserve' ? effect : { ...effect, hintTokens: 0, maxOutputTokens: 0, readsInPlace: false }
     this.time.after(HOP_MS, () => {
-      this.reduceLedger(this.engineAt(effect.replicaId), { type: 'memory_asked', atMs: this.time.nowMs, request: { ...ask, requestId: requestOf(effect.bookingId) } })
-      this.time.after(effect.maxWaitMs, () => this.reduceLedger(this.engineAt(effect.replicaId), { type: 'time_passed', atMs: this.time.nowMs }))
+      this.reduceLedger(this.findEngine(effect.replicaId), { type: 'memory_asked', atMs: this.time.nowMs, request: { ...parameters, requestId: requestIdOf(effect.bookingId) } })
+      this.time.after(effect.maxWaitMs, () => this.reduceLedger(this.findEngine(effect.replicaId), { type: 'time_passed', atMs: this.time.nowMs }))
     })
   }
 
-  private tellLedger (replicaId: string, event: LedgerEvent): void {
-    this.time.after(HOP_MS, () => this.reduceLedger(this.engineAt(replicaId), { ...event, atMs: this.time.nowMs }))
+  private sendToLedger (replicaId: string, event: LedgerEvent): void {
+    this.time.after(HOP_MS, () => this.reduceLedger(this.findEngine(replicaId), { ...event, atMs: this.time.nowMs }))
   }
 
   private reduceLedger (engine: Engine, event: LedgerEvent): void {
-    for (const effect of reduceLedger(engine.ledger, event)) this.carryOutLedger(engine, effect)
+    for (const effect of reduceLedger(engine.ledger, event)) this.handleLedgerEffect(engine, effect)
   }
 
-  private carryOutLedger (engine: Engine, effect: LedgerEffect): void {
+  private handleLedgerEffect (engine: Engine, effect: LedgerEffect): void {
     if (effect.type === 'read_report') return this.time.after(HOP_MS, () => this.readReport(engine))
-    const key = requestOf(effect.bookingId)
+    const key = requestIdOf(effect.bookingId)
     const attempt = Number(effect.bookingId.slice(effect.bookingId.lastIndexOf('/') + 1))
     this.time.after(HOP_MS, () => this.answer(engine, key, attempt, effect))
   }
 
   private answer (engine: Engine, key: string, attempt: number, effect: Exclude<LedgerEffect, { readonly type: 'read_report' }>): void {
     const atMs = this.time.nowMs
-    if (effect.type === 'confirmed') return this.route({ type: 'confirm_answered', atMs, key, attempt: this.entry.requests.get(key)?.attempt ?? -1, outcome: effect.isFree ? 'free' : 'occupied' })
+    if (effect.type === 'confirmed') return this.dispatch({ type: 'confirm_answered', atMs, key, attempt: this.entry.requests.get(key)?.attempt ?? -1, outcome: effect.isFree ? 'free' : 'occupied' })
     const outcome = effect.type === 'replica_lost' ? effect : effect.isGranted ? { type: 'granted' as const } : { type: 'refused' as const, retryAfterMs: effect.retryAfterMs }
-    this.route({ type: engine.stage === 'prefill' ? 'prefill_queue_answered' : 'reserve_answered', atMs, key, attempt, outcome })
+    this.dispatch({ type: engine.stage === 'prefill' ? 'prefill_queue_answered' : 'reserve_answered', atMs, key, attempt, outcome })
   }
 
   private prefill ({ attempt, key, replicaId, tryTimeoutMs }: RouterEffectOf<'send_prefill'>): void {
-    const engine = this.engineAt(replicaId)
+    const engine = this.findEngine(replicaId)
     this.prefillsSent += 1
     if (engine.isLost) return this.time.after(tryTimeoutMs, () => this.endPrefill({ type: 'try_timed_out', atMs: this.time.nowMs, key, attempt }))
     engine.busyUntilMs = Math.max(this.time.nowMs, engine.busyUntilMs) + this.callerOf(key).promptTokens / PREFILL_TOKENS_PER_MS
@@ -221,31 +223,31 @@
 
   private endPrefill (event: Extract<RouterEvent, { readonly type: 'prefill_answered' | 'try_timed_out' }>): void {
     const request = this.entry.requests.get(event.key)
-    // A caller that left ended it as well.
+    // The departure of the caller ends the prefill too.
     if (request === undefined || (request.phase === 'prefill' && request.attempt === event.attempt)) this.prefillsEnded += 1
-    this.route(event)
+    this.dispatch(event)
   }
 
   private run ({ attempt, key, replicaId, source, tryTimeoutMs }: RouterEffectOf<'send_run'>): void {
-    const engine = this.engineAt(replicaId)
+    const engine = this.findEngine(replicaId)
     const { outputTokens, promptTokens } = this.callerOf(key)
     if (engine.isLost) {
-      if (tryTimeoutMs !== undefined) this.time.after(tryTimeoutMs, () => this.route({ type: 'try_timed_out', atMs: this.time.nowMs, key, attempt }))
+      if (tryTimeoutMs !== undefined) this.time.after(tryTimeoutMs, () => this.dispatch({ type: 'try_timed_out', atMs: this.time.nowMs, key, attempt }))
       return
     }
-    if (this.usedTokens(engine) + promptTokens > KV_TOKENS) return this.time.after(HOP_MS, () => this.route({ type: 'run_failed', atMs: this.time.nowMs, key, attempt, failure: 'not_run' }))
-    const startAtMs = source === undefined ? this.readInPlace(engine, promptTokens) : this.time.nowMs + TRANSFER_MS
+    if (this.usedTokens(engine) + promptTokens > KV_TOKENS) return this.time.after(HOP_MS, () => this.dispatch({ type: 'run_failed', atMs: this.time.nowMs, key, attempt, failure: 'not_run' }))
+    const startAtMs = source === undefined ? this.prefillInPlace(engine, promptTokens) : this.time.nowMs + TRANSFER_MS
     const run = { requestId: key, promptTokens, outputTokens, startAtMs, endAtMs: startAtMs + outputTokens * MS_PER_OUTPUT_TOKEN }
     engine.runs.set(key, run)
     this.time.at(startAtMs, () => this.start(engine, run, key, attempt))
   }
 
-  // Its other requests make a quarter of their progress meanwhile.
-  private readInPlace (engine: Engine, promptTokens: number): number {
-    const readMs = promptTokens / IN_PLACE_TOKENS_PER_MS * 1.3
+  // The other requests of the replica run at a quarter of their speed meanwhile.
+  private prefillInPlace (engine: Engine, promptTokens: number): number {
+    const prefillMs = promptTokens / IN_PLACE_TOKENS_PER_MS * 1.3
     const fromMs = Math.max(this.time.nowMs, engine.busyUntilMs)
-    for (const run of engine.runs.values()) run.endAtMs += 0.75 * readMs
-    engine.busyUntilMs = fromMs + readMs
+    for (const run of engine.runs.values()) run.endAtMs += 0.75 * prefillMs
+    engine.busyUntilMs = fromMs + prefillMs
     return engine.busyUntilMs
   }
 
@@ -253,7 +255,7 @@
     if (engine.runs.get(key) !== run) return
     const caller = this.callerOf(key)
     caller.outcome = this.time.nowMs - caller.firstTryAtMs <= TARGET_MS ? 'on_time' : 'late'
-    this.route({ type: 'answer_started', atMs: this.time.nowMs, key, attempt })
+    this.dispatch({ type: 'answer_started', atMs: this.time.nowMs, key, attempt })
     this.finish(engine, run, key, attempt)
   }
 
@@ -262,7 +264,7 @@
       if (engine.runs.get(key) !== run) return
       if (run.endAtMs > this.time.nowMs) return this.finish(engine, run, key, attempt)
       engine.runs.delete(key)
-      this.route({ type: 'answer_complete', atMs: this.time.nowMs, key, attempt, status: 200, outputEvents: 71 })
+      this.dispatch({ type: 'answer_complete', atMs: this.time.nowMs, key, attempt, status: 200, outputEvents: 71 })
     })
   }
 
@@ -270,11 +272,11 @@
     const caller = this.callerOf(key)
     this.longestRefusalMs = Math.max(this.longestRefusalMs, this.time.nowMs - caller.tryAtMs)
     if (caller.tries > 1) caller.outcome = 'unserved'
-    else this.time.after(retryAfterMs + 2 * HOP_MS, () => this.ask(key.slice(0, key.indexOf('.')), caller))
+    else this.time.after(retryAfterMs + 2 * HOP_MS, () => this.submit(key.slice(0, key.indexOf('.')), caller))
   }
 
   private report (replicaId: string): void {
-    this.readReport(this.engineAt(replicaId))
+    this.readReport(this.findEngine(replicaId))
     this.time.after(REPORT_MS, () => this.report(replicaId))
   }
 
@@ -287,8 +289,8 @@
 
   private askLoads ({ replicaIds, request }: RouterEffectOf<'ask_loads'>): void {
     this.time.after(2 * HOP_MS, () => {
-      for (const replicaId of replicaIds) this.route({ type: 'load_learned', atMs: this.time.nowMs, load: loadOf(this.engineAt(replicaId).ledger, replicaId, this.time.nowMs) })
-      if (request !== undefined) this.route({ type: 'loads_answered', atMs: this.time.nowMs, key: request.key, attempt: request.attempt })
+      for (const replicaId of replicaIds) this.dispatch({ type: 'load_learned', atMs: this.time.nowMs, load: loadOf(this.findEngine(replicaId).ledger, replicaId, this.time.nowMs) })
+      if (request !== undefined) this.dispatch({ type: 'loads_answered', atMs: this.time.nowMs, key: request.key, attempt: request.attempt })
     })
   }
 
@@ -303,11 +305,11 @@
     return promptTokens + share * outputTokens
   }
 
-  private engineAt (replicaId: string): Engine {
+  private findEngine (replicaId: string): Engine {
     return this.engines.get(replicaId) as Engine
   }
 }
 
-function requestOf (bookingId: string): string {
+function requestIdOf (bookingId: string): string {
   return bookingId.slice(0, bookingId.lastIndexOf('/'))
 }
--- a/packages/bendfall-router/src/__tests__/unit/RefusalWorld.ts
+++ b/packages/bendfall-router/src/__tests__/unit/RefusalWorld.ts
@@ -3,28 +3,28 @@
 import { configOf, loadOf, plainRoute, replicaOf, summaryRoute } from './RouterWorld.js'
 import { VirtualTime } from './VirtualTime.js'
 
-/** Entries before replicas that refuse a share of what reaches them, in virtual time. */
+/** Scenario of entries that send to replicas which refuse a share of the work, in virtual time. */
 export interface RefusalPlay {
   readonly entries: number
   readonly seconds: number
   readonly perSecond: (atMs: number) => number
-  /** Share of the arrivals that replicas refuse as not run. */
+  /** Share of the prompts and runs that the replicas refuse as not run. */
   readonly refusedShare: (atMs: number) => number
-  /** The same of runs alone, where it differs. */
+  /** Share for runs, if it differs from that for prompts. */
   readonly refusedRuns?: (atMs: number) => number
   readonly limits: BudgetLimits
   readonly seed: number
 }
 
-/** What reached the replicas of a service. */
+/** Traffic of one service, counted at its replicas. */
 export interface Reached {
-  /** Times of the requests of callers. */
+  /** Arrival times of the requests of callers. */
   readonly requests: readonly number[]
-  /** Times of the arrivals beyond the first of each request, without the free read. */
+  /** Times of the sends after the first of each request, without the one prefill per request that the budget does not charge. */
   readonly extras: readonly number[]
 }
 
-/** What came of a play. */
+/** Result of a scenario. */
 export interface RefusalResult {
   readonly prompts: Reached
   readonly calls: Reached
@@ -35,54 +35,54 @@
   readonly promptsUsed: number
 }
 
-interface Arrived { readonly atMs: number, readonly isFreeRead: boolean }
+interface Arrival { readonly atMs: number, readonly isFreePrefill: boolean }
 
 const HOP_MS = 2
-const READ_MS = 110
+const PREFILL_MS = 110
 const FIRST_EVENT_MS = 25
-const ANSWER_MS = 400
-const END_MS = 4_000
+const RESPONSE_MS = 400
+const DRAIN_MS = 4_000
 
-/** Plays it, and counts at the replicas, not by what the entries think. */
-export function playRefusals (play: RefusalPlay): RefusalResult {
-  return new RefusalWorld(play).play()
+/** Simulates a refusal scenario. Counts what reaches the replicas, independently of the entries' own accounts. */
+export function playRefusals (scenario: RefusalPlay): RefusalResult {
+  return new RefusalSimulation(scenario).simulate()
 }
 
-class RefusalWorld {
+class RefusalSimulation {
   private readonly entries: RouterState[]
   private readonly time: VirtualTime
-  private readonly arrived = new Map<string, Arrived[]>()
+  private readonly arrivals = new Map<string, Arrival[]>()
   private readonly requests = { prompts: [] as number[], calls: [] as number[] }
   private served = 0
   private promptsRead = 0
   private promptsUsed = 0
 
-  constructor (private readonly plan: RefusalPlay) {
-    this.time = new VirtualTime(plan.seed)
+  constructor (private readonly scenario: RefusalPlay) {
+    this.time = new VirtualTime(scenario.seed)
     const replicas = [...['p1', 'p2'].map((id) => replicaOf(id, 'prefill')), ...['d1', 'd2', 'd3', 'd4'].map((id) => replicaOf(id, 'decode')), ...['a1', 'a2', 'a3'].map((id) => replicaOf(id, 'plain'))]
-    this.entries = Array.from({ length: plan.entries }, (_, i) => createRouterState(plan.seed + i, `entry-${i}`, DEFAULT_DECISIONS, plan.limits))
-    for (let i = 0; i < plan.entries; i++) {
+    this.entries = Array.from({ length: scenario.entries }, (_, i) => createRouterState(scenario.seed + i, `entry-${i}`, DEFAULT_DECISIONS, scenario.limits))
+    for (let i = 0; i < scenario.entries; i++) {
       this.reduce(i, { type: 'config_learned', atMs: 0, config: configOf(1, [summaryRoute({ maxAttempts: 3, isResumable: true }), plainRoute()]) })
       this.reduce(i, { type: 'replicas_changed', atMs: 0, present: replicas, gone: [] })
-      for (let atMs = TICK_MS; atMs < plan.seconds * 1_000 + END_MS; atMs += TICK_MS) this.time.at(atMs, () => this.reduce(i, { type: 'time_passed', atMs: this.time.nowMs }))
+      for (let atMs = TICK_MS; atMs < scenario.seconds * 1_000 + DRAIN_MS; atMs += TICK_MS) this.time.at(atMs, () => this.reduce(i, { type: 'time_passed', atMs: this.time.nowMs }))
     }
   }
 
-  play (): RefusalResult {
-    for (let second = 0; second < this.plan.seconds; second++) {
-      for (let i = 0; i < this.plan.perSecond(second * 1_000); i++) this.time.at((second + this.time.draw()) * 1_000, () => this.arrive())
+  simulate (): RefusalResult {
+    for (let second = 0; second < this.scenario.seconds; second++) {
+      for (let i = 0; i < this.scenario.perSecond(second * 1_000); i++) this.time.at((second + this.time.draw()) * 1_000, () => this.arrive())
     }
-    this.time.playUntil(this.plan.seconds * 1_000 + END_MS)
-    const prompts = { requests: this.requests.prompts, extras: this.extras('prompts') }
-    const calls = { requests: this.requests.calls, extras: this.extras('calls') }
+    this.time.playUntil(this.scenario.seconds * 1_000 + DRAIN_MS)
+    const prompts = { requests: this.requests.prompts, extras: this.extraSendTimes('prompts') }
+    const calls = { requests: this.requests.calls, extras: this.extraSendTimes('calls') }
     return { prompts, calls, asked: prompts.requests.length + calls.requests.length, repeats: prompts.extras.length + calls.extras.length, served: this.served, promptsRead: this.promptsRead, promptsUsed: this.promptsUsed }
   }
 
-  private extras (kind: 'prompts' | 'calls'): number[] {
-    return [...this.arrived].flatMap(([key, all]) => {
+  private extraSendTimes (kind: 'prompts' | 'calls'): number[] {
+    return [...this.arrivals].flatMap(([key, all]) => {
       if (!key.endsWith(kind)) return []
-      const free = all.findIndex(({ isFreeRead }) => isFreeRead)
-      return all.filter((_, place) => place !== free).slice(1).map(({ atMs }) => atMs)
+      const free = all.findIndex(({ isFreePrefill }) => isFreePrefill)
+      return all.filter((_, index) => index !== free).slice(1).map(({ atMs }) => atMs)
     })
   }
 
@@ -108,31 +108,31 @@
     confirm: (entry, { attempt, key }) => this.time.after(HOP_MS, () => this.reduce(entry, { type: 'confirm_answered', atMs: this.time.nowMs, key, attempt, outcome: 'free' })),
     queue_prefill: (entry, { attempt, key }) => this.time.after(HOP_MS, () => this.reduce(entry, { type: 'prefill_queue_answered', atMs: this.time.nowMs, key, attempt, outcome: { type: 'granted' } })),
     reserve: (entry, { attempt, key }) => this.time.after(HOP_MS, () => this.reduce(entry, { type: 'reserve_answered', atMs: this.time.nowMs, key, attempt, outcome: { type: 'granted' } })),
-    send_prefill: (entry, { attempt, key }) => this.read(entry, key, attempt),
+    send_prefill: (entry, { attempt, key }) => this.prefill(entry, key, attempt),
     send_run: (entry, effect) => this.run(entry, effect)
   }
 
-  private read (entry: number, key: string, attempt: number): void {
-    const isRefused = this.isRefused(this.plan.refusedShare)
-    this.note(key, !isRefused)
+  private prefill (entry: number, key: string, attempt: number): void {
+    const isRefused = this.isRefused(this.scenario.refusedShare)
+    this.recordArrival(key, !isRefused)
     if (isRefused) return this.time.after(HOP_MS, () => this.reduce(entry, { type: 'prefill_answered', atMs: this.time.nowMs, key, attempt, outcome: { type: 'failed', failure: 'not_run' } }))
     this.promptsRead += 1
-    this.time.after(READ_MS, () => this.reduce(entry, { type: 'prefill_answered', atMs: this.time.nowMs, key, attempt, outcome: { type: 'read', handle: key } }))
+    this.time.after(PREFILL_MS, () => this.reduce(entry, { type: 'prefill_answered', atMs: this.time.nowMs, key, attempt, outcome: { type: 'read', handle: key } }))
   }
 
   private run (entry: number, { attempt, key, source }: RouterEffectOf<'send_run'>): void {
-    this.note(key, false)
-    if (this.isRefused(this.plan.refusedRuns ?? this.plan.refusedShare)) return this.time.after(HOP_MS, () => this.reduce(entry, { type: 'run_failed', atMs: this.time.nowMs, key, attempt, failure: 'not_run' }))
+    this.recordArrival(key, false)
+    if (this.isRefused(this.scenario.refusedRuns ?? this.scenario.refusedShare)) return this.time.after(HOP_MS, () => this.reduce(entry, { type: 'run_failed', atMs: this.time.nowMs, key, attempt, failure: 'not_run' }))
     if (source !== undefined) this.promptsUsed += 1
     this.served += 1
     this.time.after(FIRST_EVENT_MS, () => this.reduce(entry, { type: 'answer_started', atMs: this.time.nowMs, key, attempt }))
-    this.time.after(ANSWER_MS, () => this.reduce(entry, { type: 'answer_complete', atMs: this.time.nowMs, key, attempt, status: 200, outputEvents: 30 }))
+    this.time.after(RESPONSE_MS, () => this.reduce(entry, { type: 'answer_complete', atMs: this.time.nowMs, key, attempt, status: 200, outputEvents: 30 }))
   }
 
-  private note (key: string, isFreeRead: boolean): void {
-    const all = this.arrived.get(key) ?? []
-    all.push({ atMs: this.time.nowMs, isFreeRead })
-    this.arrived.set(key, all)
+  private recordArrival (key: string, isFreePrefill: boolean): void {
+    const arrivals = this.arrivals.get(key) ?? []
+    arrivals.push({ atMs: this.time.nowMs, isFreePrefill })
+    this.arrivals.set(key, arrivals)
   }
 
   private isRefused (shareAt: (atMs: number) => number): boolean {
--- a/packages/bendfall-router/src/__tests__/unit/RouterWorld.ts
+++ b/packages/bendfall-router/src/__tests__/unit/RouterWorld.ts
@@ -3,17 +3,17 @@
 
 type WithoutTime<E> = E extends unknown ? Omit<E, 'atMs'> : never
 
-/** An entry in virtual time. */
+/** A simulated entry: reduces events in virtual time and returns their effects. */
 export interface RouterWorld {
   readonly state: RouterState
   readonly nowMs: () => number
-  /** Lets time pass. */
+  /** Advances the time, with the regular ticks. */
   readonly wait: (ms: number) => void
-  /** Lets time pass without an event, as in a process that stands still. */
+  /** Advances the time without an event, as while the process is paused. */
   readonly freeze: (ms: number) => void
-  /** Reduces an event and returns its effects without log lines. */
+  /** Reduces an event and returns its effects, except for log lines. */
   readonly reduce: (event: WithoutTime<RouterEvent>) => RouterEffect[]
-  /** The same, and has asks for loads answered at once. */
+  /** Like `reduce`, but also answers requests for loads immediately. */
   readonly send: (event: WithoutTime<RouterEvent>) => RouterEffect[]
 }
 
@@ -34,17 +34,17 @@
   services: [{ service: 'llm', weight: 1 }]
 }
 
-/** A route of summaries, changed as told. */
+/** Creates a streaming route for summaries, with the given fields overridden. */
 export function summaryRoute (change: Partial<Route> = {}): Route {
   return { ...SUMMARY, ...change }
 }
 
-/** A route of plain calls, changed as told. */
+/** Creates a route for plain calls, with the given fields overridden. */
 export function plainRoute (change: Partial<Route> = {}): Route {
   return { ...SUMMARY, name: 'plain', pathPrefix: '/rates/', kind: 'idempotent', timeoutMs: 1_200, targetLatencyMs: 150, maxAttempts: 2, hasPrompt: false, services: [{ service: 'app', weight: 1 }], ...change }
 }
 
-/** A configuration with these routes. */
+/** Creates a configuration with the given routes, a model service and a plain service. */
 export function configOf (version: number, routes: readonly Route[]): RouterConfig {
   return {
     version,
@@ -57,23 +57,23 @@
   }
 }
 
-/** A replica; its id is also its host. */
+/** Creates the registration of a replica, whose id is also its host name. */
 export function replicaOf (replicaId: string, stage: ReplicaStage, change: Partial<Replica> = {}): Replica {
   return { replicaId, registeredAtRevision: 1, revision: 1, heartbeats: 1, service: stage === 'plain' ? 'app' : 'llm', address: `${replicaId}:80`, availabilityZone: 'a', slots: 6, isDraining: false, stage, ...change }
 }
 
-/** Load of a replica with the same room at all horizons. */
+/** Creates the load of a replica with the same free memory at all horizons. */
 export function loadOf (replicaId: string, stage: ReplicaStage, room: number): ReplicaLoad {
   return { replicaId, stage, isHealthy: true, capacityTokens: 37_000, roomTokens: Array.from({ length: 10 }, () => room), backlogTokens: 0 }
 }
 
-/** An entry that knows a configuration and replicas. */
+/** Creates a simulated entry that has learned a configuration and replicas. */
 export function createWorld (routes: readonly Route[], replicas: readonly Replica[]): RouterWorld {
   const state = createRouterState(7, 'entry-1')
   let nowMs = 1_000
   const reduce = (event: WithoutTime<RouterEvent>): RouterEffect[] =>
     reduceRouter(state, { ...event, atMs: nowMs } as RouterEvent).filter(({ type }) => type !== 'log')
-  // Ledgers that are asked have nothing to tell beyond what the test told.
+  // The responses of the ledgers add nothing to the loads that the test has sent.
   const send = (event: WithoutTime<RouterEvent>): RouterEffect[] => reduce(event).flatMap((effect) => {
     if (effect.type !== 'ask_loads') return [effect]
     return effect.request === undefined ? [] : send({ type: 'loads_answered', key: effect.request.key, attempt: effect.request.attempt })
@@ -91,28 +91,28 @@
 
 const MODELS = [replicaOf('p1', 'prefill'), replicaOf('d1', 'decode'), replicaOf('d2', 'decode')]
 
-/** An entry before one prefill and two decode replicas, the first with more room. */
+/** Creates a simulated entry with one prefill and two decode replicas, of which the first has more free memory. */
 export function modelWorld (change: Parameters<typeof summaryRoute>[0] = {}): RouterWorld {
-  const world = createWorld([summaryRoute(change)], MODELS)
-  world.send({ type: 'load_learned', load: loadOf('d1', 'decode', 30_000) })
-  world.send({ type: 'load_learned', load: loadOf('d2', 'decode', 10_000) })
-  return world
+  const simulation = createWorld([summaryRoute(change)], MODELS)
+  simulation.send({ type: 'load_learned', load: loadOf('d1', 'decode', 30_000) })
+  simulation.send({ type: 'load_learned', load: loadOf('d2', 'decode', 10_000) })
+  return simulation
 }
 
-/** A request of a summary, or of another path. */
+/** Creates the arrival of a request for a summary, or for another path. */
 export function arrival (key: string, path = '/summaries/1'): WithoutTime<RouterEvent> {
   const prompt = path.startsWith('/summaries/') ? { promptTokens: 3_000, maxOutputTokens: 2_000, outputHintTokens: 800 } : undefined
   return { type: 'request_arrived', arrival: { key, requestId: `id-${key}`, fingerprint: key, host: 'quotes.example', path, deadlineMs: 14_000, prompt } }
 }
 
-/** The only effect of a type. */
+/** Returns the only effect of a type, and throws if there is none or more than one. */
 export function only<T extends RouterEffect['type']> (effects: readonly RouterEffect[], type: T): RouterEffectOf<T> {
   const found = effects.filter((effect) => effect.type === type)
-  if (found.length !== 1) throw new Error(`${found.length} effects of type ${type} in ${JSON.stringify(effects)}`)
+  if (found.length !== 1) throw new Error(`${found.length} effects of type ${type} instead of one: ${JSON.stringify(effects)}`)
   return found[0] as RouterEffectOf<T>
 }
 
-/** Types of effects, in order. */
+/** Returns the types of the effects, in order. */
 export function typesOf (effects: readonly RouterEffect[]): string[] {
   return effects.map(({ type }) => type)
 }
