--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterAllotment.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterAllotment.test.ts
@@ -2,28 +2,28 @@
 import * as assert from 'uvu/assert'
 import { createAllotmentLeaderState, giveBackToAllotment, retainCustomers, takeFromAllotment } from '../../index.js'
 import type { Allotment, AllotmentBounds, Customer, RouterEffect, UnitsOutcome } from '../../index.js'
-import { arrival, configOf, createWorld, loadOf, only, plainRoute, replicaOf, summaryRoute, typesOf } from './RouterWorld.js'
-import type { RouterWorld } from './RouterWorld.js'
+import { arrival, configOf, createSimulation, loadOf, only, plainRoute, replicaOf, summaryRoute, typesOf } from './RouterWorld.js'
+import type { RouterSimulation } from './RouterWorld.js'
 
 const ALLOTMENT: Allotment = { unit: 'tokens', unitsPerS: 36_000, burstUnits: 36_000, undeclaredUnits: 200 }
 const ACME: Customer = { name: 'acme', keyDigests: ['k-acme'], allotment: ALLOTMENT }
 const FREE: Customer = { name: 'free', keyDigests: ['k-free'] }
 const BOUNDS: AllotmentBounds = { windowMs: 8_000, overShare: 0.1, slackUnits: 140_000 }
 
-function createCustomerSimulation (customers: readonly Customer[] = [ACME, FREE]): RouterWorld {
-  const simulation = createWorld([], [replicaOf('a1', 'plain'), replicaOf('a2', 'plain'), replicaOf('p1', 'prefill'), replicaOf('d1', 'decode')])
+function createCustomerSimulation (customers: readonly Customer[] = [ACME, FREE]): RouterSimulation {
+  const simulation = createSimulation([], [replicaOf('a1', 'plain'), replicaOf('a2', 'plain'), replicaOf('p1', 'prefill'), replicaOf('d1', 'decode')])
   simulation.send({ type: 'load_learned', load: loadOf('d1', 'decode', 30_000) })
   simulation.send({ type: 'config_learned', config: { ...configOf(2, [plainRoute(), summaryRoute()]), customers } })
   simulation.send({ type: 'config_proven', provenAtMs: simulation.nowMs() })
   return simulation
 }
 
-function sendRequest (simulation: RouterWorld, key: string, path = '/rates/1', keyDigest = 'k-acme'): RouterEffect[] {
+function sendRequest (simulation: RouterSimulation, key: string, path = '/rates/1', keyDigest = 'k-acme'): RouterEffect[] {
   const event = arrival(key, path)
   return simulation.send(event.type === 'request_arrived' ? { ...event, arrival: { ...event.arrival, keyDigest } } : event)
 }
 
-function sendUnitsAnswer (simulation: RouterWorld, effects: readonly RouterEffect[], outcome: UnitsOutcome): RouterEffect[] {
+function sendUnitsAnswer (simulation: RouterSimulation, effects: readonly RouterEffect[], outcome: UnitsOutcome): RouterEffect[] {
   const { type: _, ...request } = only(effects, 'take_units')
   return simulation.send({ type: 'units_answered', ...request, outcome })
 }
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterCrashes.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterCrashes.test.ts
@@ -1,8 +1,8 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { playCrashes } from './CrashWorld.js'
-import { arrival, createWorld, modelWorld, only, plainRoute, replicaOf, typesOf } from './RouterWorld.js'
-import type { RouterWorld } from './RouterWorld.js'
+import { simulateCrashes } from './CrashWorld.js'
+import { arrival, createSimulation, createModelSimulation, only, plainRoute, replicaOf, typesOf } from './RouterWorld.js'
+import type { RouterSimulation } from './RouterWorld.js'
 
 /** Sends of the crashing request that are tolerated after all entries have learned of the third crash. */
 const MAX_LATE_SENDS = 3
@@ -14,7 +14,7 @@
 for (const { entries, perSecond, replicas, seeds } of [{ entries: 1, perSecond: 20, replicas: 3, seeds: SEEDS }, { entries: 5, perSecond: 100, replicas: 12, seeds: SEEDS }, { entries: 68, perSecond: 272, replicas: 84, seeds: 3 }, { entries: 840, perSecond: 400, replicas: 200, seeds: 1 }]) {
   test(`a request that crashes replicas is refused after the third crash and no other request is, ${entries} entries`, () => {
     for (let seed = 1; seed <= seeds; seed++) {
-      const { lateSends, poisonCrashes, wronglyRefused } = playCrashes({ seed, entries, replicas, perSecond, seconds: 12, poisonEachMs: 700, crashEachMs: 500 })
+      const { lateSends, poisonCrashes, wronglyRefused } = simulateCrashes({ seed, entries, replicas, perSecond, seconds: 12, poisonIntervalMs: 700, crashIntervalMs: 500 })
       assert.ok(poisonCrashes >= 3, `seed ${seed}: ${poisonCrashes} crashes`)
       assert.ok(lateSends <= MAX_LATE_SENDS, `seed ${seed}: ${lateSends} sends`)
       assert.is(wronglyRefused, 0, `seed ${seed}`)
@@ -24,27 +24,27 @@
 
 test('copies of a crashing request that arrive at several entries at once are refused as well', () => {
   for (let seed = 1; seed <= SEEDS; seed++) {
-    const { lateSends } = playCrashes({ seed, entries: 5, replicas: 12, perSecond: 100, seconds: 14, poisonEachMs: 3_500, poisonsAtOnce: 4 })
+    const { lateSends } = simulateCrashes({ seed, entries: 5, replicas: 12, perSecond: 100, seconds: 14, poisonIntervalMs: 3_500, poisonsPerInterval: 4 })
     assert.ok(lateSends <= MAX_LATE_SENDS, `seed ${seed}: ${lateSends} sends`)
   }
 })
 
 test('no request is refused when an availability zone with a third of the replicas is lost at once', () => {
   for (let seed = 1; seed <= SEEDS; seed++) {
-    const { wronglyRefused } = playCrashes({ seed, entries: 5, replicas: 30, perSecond: 400, seconds: 8, zoneLostAtMs: 3_000 })
+    const { wronglyRefused } = simulateCrashes({ seed, entries: 5, replicas: 30, perSecond: 400, seconds: 8, zoneLostAtMs: 3_000 })
     assert.is(wronglyRefused, 0, `seed ${seed}`)
   }
 })
 
 test('no request is refused when an availability zone is lost before a polled path was first served', () => {
   for (let seed = 1; seed <= SEEDS; seed++) {
-    const { wronglyRefused } = playCrashes({ seed, entries: 5, replicas: 30, perSecond: 2_000, seconds: 2, zoneLostAtMs: 30 })
+    const { wronglyRefused } = simulateCrashes({ seed, entries: 5, replicas: 30, perSecond: 2_000, seconds: 2, zoneLostAtMs: 30 })
     assert.is(wronglyRefused, 0, `seed ${seed}`)
   }
 })
 
 test('no request is refused when an availability zone is lost before a polled path was first served, and crash reports arrive first', () => {
-  const { wronglyRefused } = playCrashes({ seed: 258, entries: 5, replicas: 30, perSecond: 2_000, seconds: 2, zoneLostAtMs: 30 })
+  const { wronglyRefused } = simulateCrashes({ seed: 258, entries: 5, replicas: 30, perSecond: 2_000, seconds: 2, zoneLostAtMs: 30 })
   assert.is(wronglyRefused, 0)
 })
 
@@ -52,7 +52,7 @@
 for (const { name, ...delays } of [{ name: 'in two steps', zoneStepMs: 500 }, { name: 'and crash reports are late', reportMs: 2_000 }, { name: 'in two steps and crash reports are late', zoneStepMs: 500, reportMs: 2_000 }]) {
   test(`no request is refused when an availability zone is lost ${name}`, () => {
     for (let seed = 1; seed <= DELAY_SEEDS; seed++) {
-      const { wronglyRefused } = playCrashes({ seed, entries: 5, replicas: 30, perSecond: 2_000, seconds: 3, zoneLostAtMs: 30, ...delays })
+      const { wronglyRefused } = simulateCrashes({ seed, entries: 5, replicas: 30, perSecond: 2_000, seconds: 3, zoneLostAtMs: 30, ...delays })
       assert.is(wronglyRefused, 0, `seed ${seed}`)
     }
   })
@@ -60,7 +60,7 @@
 
 test('a request that crashes replicas is refused in time although crash reports are late', () => {
   for (let seed = 1; seed <= DELAY_SEEDS; seed++) {
-    const { lateSends } = playCrashes({ seed, entries: 5, replicas: 12, perSecond: 100, seconds: 12, poisonEachMs: 700, crashEachMs: 500, reportMs: 1_500 })
+    const { lateSends } = simulateCrashes({ seed, entries: 5, replicas: 12, perSecond: 100, seconds: 12, poisonIntervalMs: 700, crashIntervalMs: 500, reportMs: 1_500 })
     assert.is(lateSends, 0, `seed ${seed}`)
   }
 })
@@ -80,13 +80,13 @@
 })
 
 test('only entries with a run on a crashed replica write a report to the key-value service', () => {
-  const { poisonCrashes, reports } = playCrashes({ seed: 1, entries: 68, replicas: 84, perSecond: 272, seconds: 12, poisonEachMs: 700 })
+  const { poisonCrashes, reports } = simulateCrashes({ seed: 1, entries: 68, replicas: 84, perSecond: 272, seconds: 12, poisonIntervalMs: 700 })
   assert.ok(reports <= 4 * poisonCrashes, `${reports} reports of ${poisonCrashes} crashes`)
 })
 
 const PLAIN = ['a1', 'a2', 'a3', 'a4'].map((id) => replicaOf(id, 'plain', { startedAtMs: 1 }))
 
-function loseRun (simulation: RouterWorld, key: string): string {
+function loseRun (simulation: RouterSimulation, key: string): string {
   const { attempt, replicaId } = only(simulation.send(arrival(key, '/rates/1')), 'send_run')
   simulation.send({ type: 'run_failed', key, attempt, failure: 'connection_lost' })
   return replicaId
@@ -96,14 +96,14 @@
   return event.type === 'request_arrived' ? { ...event, arrival: { ...event.arrival, fingerprint } } : event
 }
 
-function crashReplica (simulation: RouterWorld, key: string, fingerprint: string): void {
+function crashReplica (simulation: RouterSimulation, key: string, fingerprint: string): void {
   const { attempt, replicaId } = only(simulation.send(withFingerprint(arrival(key, '/rates/1'), fingerprint)), 'send_run')
   const effects = simulation.send({ type: 'run_failed', key, attempt, failure: 'connection_lost' })
   assert.ok(typesOf(effects).includes('check_replica'))
   simulation.send({ type: 'replica_checked', replicaId, startedAtMs: 1, outcome: 'ended' })
 }
 
-const createSingleAttemptSimulation = (): RouterWorld => createWorld([plainRoute({ kind: 'non_idempotent', maxAttempts: 1 })], PLAIN)
+const createSingleAttemptSimulation = (): RouterSimulation => createSimulation([plainRoute({ kind: 'non_idempotent', maxAttempts: 1 })], PLAIN)
 
 test('a connection lost to a replica that is alive does not count as a crash', () => {
   const simulation = createSingleAttemptSimulation()
@@ -178,7 +178,7 @@
 
 test('a stream that has been responding for a second is not suspected when its replica crashes', () => {
   for (const { answeredMs, suspects } of [{ answeredMs: 300, suspects: 1 }, { answeredMs: 1_200, suspects: 0 }]) {
-    const simulation = modelWorld()
+    const simulation = createModelSimulation()
     const reserve = only(simulation.send(arrival('k1')), 'reserve')
     const prefill = only(simulation.send({ type: 'reserve_answered', key: 'k1', attempt: reserve.attempt, outcome: { type: 'granted' } }), 'send_prefill')
     const confirm = only(simulation.send({ type: 'prefill_answered', key: 'k1', attempt: prefill.attempt, outcome: { type: 'read', handle: 'h1' } }), 'confirm')
@@ -200,7 +200,7 @@
 })
 
 test('a waiting request is refused before its next step once the third crash is reported', () => {
-  const simulation = modelWorld()
+  const simulation = createModelSimulation()
   const reserve = only(simulation.send(arrival('k1')), 'reserve')
   simulation.send({ type: 'crash_report_learned', reporter: 'entry-2', report: { suspects: [{ fingerprint: 'k1', processes: ['x/1', 'y/1', 'z/1'] }], cleared: [] } })
   const effects = simulation.send({ type: 'reserve_answered', key: 'k1', attempt: reserve.attempt, outcome: { type: 'granted' } })
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterCustomers.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterCustomers.test.ts
@@ -2,8 +2,8 @@
 import * as assert from 'uvu/assert'
 import { reduceRouter } from '../../index.js'
 import type { Customer, Route, RouterEffect, RouterEvent } from '../../index.js'
-import { arrival, configOf, createWorld, loadOf, only, plainRoute, replicaOf, summaryRoute } from './RouterWorld.js'
-import type { RouterWorld } from './RouterWorld.js'
+import { arrival, configOf, createSimulation, loadOf, only, plainRoute, replicaOf, summaryRoute } from './RouterWorld.js'
+import type { RouterSimulation } from './RouterWorld.js'
 
 /** By the default limits, known keys are accepted up to 4 s after the last verification, and unknown ones rejected as such up to 1.8 s. */
 const MAX_KEY_AGE_MS = 4_000
@@ -14,23 +14,23 @@
 
 const ROUTES: readonly Route[] = [plainRoute(), plainRoute({ name: 'open', pathPrefix: '/open/', allowsAnonymous: true }), summaryRoute()]
 
-function createCustomerSimulation (customers: readonly Customer[] = [ACME, BOLT]): RouterWorld {
-  const simulation = createWorld([], [replicaOf('a1', 'plain'), replicaOf('p1', 'prefill'), replicaOf('d1', 'decode')])
+function createCustomerSimulation (customers: readonly Customer[] = [ACME, BOLT]): RouterSimulation {
+  const simulation = createSimulation([], [replicaOf('a1', 'plain'), replicaOf('p1', 'prefill'), replicaOf('d1', 'decode')])
   simulation.send({ type: 'load_learned', load: loadOf('d1', 'decode', 30_000) })
   applyConfig(simulation, 2, customers)
   verifyConfig(simulation)
   return simulation
 }
 
-function applyConfig (simulation: RouterWorld, version: number, customers: readonly Customer[]): void {
+function applyConfig (simulation: RouterSimulation, version: number, customers: readonly Customer[]): void {
   simulation.send({ type: 'config_learned', config: { ...configOf(version, ROUTES), customers } })
 }
 
-function verifyConfig (simulation: RouterWorld, ageMs = 0): void {
+function verifyConfig (simulation: RouterSimulation, ageMs = 0): void {
   simulation.send({ type: 'config_proven', provenAtMs: simulation.nowMs() - ageMs })
 }
 
-function sendRequest (simulation: RouterWorld, key: string, keyDigest?: string, path = '/rates/1'): RouterEffect[] {
+function sendRequest (simulation: RouterSimulation, key: string, keyDigest?: string, path = '/rates/1'): RouterEffect[] {
   const event = arrival(key, path)
   assert.is(event.type, 'request_arrived')
   return simulation.send(event.type === 'request_arrived' ? { ...event, arrival: { ...event.arrival, keyDigest } } : event)
@@ -53,7 +53,7 @@
 })
 
 test('no API key is required without customers in the configuration', () => {
-  const simulation = createWorld(ROUTES, [replicaOf('a1', 'plain')])
+  const simulation = createSimulation(ROUTES, [replicaOf('a1', 'plain')])
   assert.is(only(sendRequest(simulation, '1', 'k-other'), 'send_run').customer, undefined)
 })
 
@@ -151,7 +151,7 @@
 })
 
 /** Reduces an event after a suspension that the monotonic clock did not count. */
-function afterSuspension (simulation: RouterWorld, event: object, suspendedMs: number): RouterEffect[] {
+function afterSuspension (simulation: RouterSimulation, event: object, suspendedMs: number): RouterEffect[] {
   return reduceRouter(simulation.state, { ...event, atMs: simulation.nowMs(), suspendedMs } as RouterEvent).filter(({ type }) => type !== 'log')
 }
 
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterDeparted.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterDeparted.test.ts
@@ -4,8 +4,8 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import type { Replica } from '../../index.js'
-import { createWorld, plainRoute, replicaOf } from './RouterWorld.js'
-import type { RouterWorld } from './RouterWorld.js'
+import { createSimulation, plainRoute, replicaOf } from './RouterWorld.js'
+import type { RouterSimulation } from './RouterWorld.js'
 
 const STARTED_AT_MS = 1_764_000_000_000
 const NEXT_ERA_REVISION = 1_000
@@ -13,13 +13,13 @@
 const registrationOf = (heartbeats: number, changes: Partial<Replica> = {}): Replica =>
   replicaOf('a', 'plain', { startedAtMs: STARTED_AT_MS, heartbeats, revision: heartbeats, ...changes })
 
-const update = (simulation: RouterWorld, replica: Replica): void => { simulation.send({ type: 'replicas_changed', present: [replica], gone: [] }) }
-const remove = (simulation: RouterWorld): void => { simulation.send({ type: 'replicas_changed', present: [], gone: ['a'] }) }
-const isKnown = ({ state }: RouterWorld): boolean => state.replicas.has('a')
-const isDraining = ({ state }: RouterWorld): boolean => state.replicas.get('a')?.replica.isDraining === true
+const update = (simulation: RouterSimulation, replica: Replica): void => { simulation.send({ type: 'replicas_changed', present: [replica], gone: [] }) }
+const remove = (simulation: RouterSimulation): void => { simulation.send({ type: 'replicas_changed', present: [], gone: ['a'] }) }
+const isKnown = ({ state }: RouterSimulation): boolean => state.replicas.has('a')
+const isDraining = ({ state }: RouterSimulation): boolean => state.replicas.get('a')?.replica.isDraining === true
 
 test('a replica whose registration was removed is not added again by a stale registration', () => {
-  const simulation = createWorld([plainRoute()], [registrationOf(9)])
+  const simulation = createSimulation([plainRoute()], [registrationOf(9)])
   remove(simulation)
   update(simulation, registrationOf(7, { revision: NEXT_ERA_REVISION }))
   assert.is(isKnown(simulation), false)
@@ -30,7 +30,7 @@
 })
 
 test('a draining replica is not made ready by a registration with a lower, the same or a higher heartbeat count', () => {
-  const simulation = createWorld([plainRoute()], [registrationOf(9, { isDraining: true })])
+  const simulation = createSimulation([plainRoute()], [registrationOf(9, { isDraining: true })])
   for (const heartbeats of [7, 9, 10]) {
     update(simulation, registrationOf(heartbeats, { revision: NEXT_ERA_REVISION }))
     assert.is(isDraining(simulation), true, `${heartbeats}`)
@@ -38,7 +38,7 @@
 })
 
 test('a registration of a later process under the same id is accepted, one of an earlier process is not', () => {
-  const simulation = createWorld([plainRoute()], [registrationOf(9)])
+  const simulation = createSimulation([plainRoute()], [registrationOf(9)])
   remove(simulation)
   update(simulation, registrationOf(20, { startedAtMs: STARTED_AT_MS - 1, revision: NEXT_ERA_REVISION }))
   assert.is(isKnown(simulation), false)
@@ -47,7 +47,7 @@
 })
 
 test('a live replica stays in use when a restored backup returns its old registration', () => {
-  const simulation = createWorld([plainRoute()], [registrationOf(9)])
+  const simulation = createSimulation([plainRoute()], [registrationOf(9)])
   update(simulation, registrationOf(7, { revision: NEXT_ERA_REVISION }))
   assert.is(isKnown(simulation), true)
   update(simulation, registrationOf(10, { revision: NEXT_ERA_REVISION + 1 }))
@@ -55,7 +55,7 @@
 })
 
 test('the number of remembered departed replicas is limited', () => {
-  const simulation = createWorld([plainRoute()], [])
+  const simulation = createSimulation([plainRoute()], [])
   for (let i = 0; i < 3_000; i++) {
     const replica = replicaOf(`r${i}`, 'plain', { startedAtMs: STARTED_AT_MS })
     simulation.send({ type: 'replicas_changed', present: [replica], gone: [] })
@@ -73,7 +73,7 @@
     fc.record({ type: fc.constant('remove' as const) })
   )
   fc.assert(fc.property(fc.array(step, { maxLength: 40 }), (steps) => {
-    const simulation = createWorld([plainRoute()], [])
+    const simulation = createSimulation([plainRoute()], [])
     let heartbeats = 1
     let revision = 1
     let hasDrained = false
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterEntry.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterEntry.test.ts
@@ -1,11 +1,11 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import type { RouterEffect } from '../../index.js'
-import { arrival, configOf, createWorld, loadOf, modelWorld, only, plainRoute, replicaOf, summaryRoute, typesOf } from './RouterWorld.js'
-import type { RouterWorld } from './RouterWorld.js'
+import { arrival, configOf, createSimulation, loadOf, createModelSimulation, only, plainRoute, replicaOf, summaryRoute, typesOf } from './RouterWorld.js'
+import type { RouterSimulation } from './RouterWorld.js'
 
 /** Sends a request and answers each step up to its run on a decode replica. */
-function runRequest (simulation: RouterWorld, key = '1'): RouterEffect[] {
+function runRequest (simulation: RouterSimulation, key = '1'): RouterEffect[] {
   const reserve = only(simulation.send(arrival(key)), 'reserve')
   const prefill = only(simulation.send({ type: 'reserve_answered', key, attempt: reserve.attempt, outcome: { type: 'granted' } }), 'send_prefill')
   const confirm = only(simulation.send({ type: 'prefill_answered', key, attempt: prefill.attempt, outcome: { type: 'read', handle: 'h' } }), 'confirm')
@@ -13,7 +13,7 @@
 }
 
 test('without a configuration a request is refused as not run', () => {
-  const simulation = createWorld([], [])
+  const simulation = createSimulation([], [])
   simulation.state.config = undefined
   const refuse = only(simulation.send(arrival('1')), 'refuse')
   assert.is(refuse.status, 503)
@@ -21,37 +21,37 @@
 })
 
 test('a path without a route is answered 404', () => {
-  assert.is(only(modelWorld().send(arrival('1', '/other/')), 'refuse').status, 404)
+  assert.is(only(createModelSimulation().send(arrival('1', '/other/')), 'refuse').status, 404)
 })
 
 test('an older configuration is ignored', () => {
-  const simulation = modelWorld()
+  const simulation = createModelSimulation()
   simulation.send({ type: 'config_learned', config: configOf(5, [plainRoute()]) })
   simulation.send({ type: 'config_learned', config: configOf(4, [summaryRoute()]) })
   assert.is(simulation.state.config?.version, 5)
 })
 
 test('memory is booked at the replica with the most free memory, before the prompt is processed', () => {
-  const reserve = only(modelWorld().send(arrival('1')), 'reserve')
+  const reserve = only(createModelSimulation().send(arrival('1')), 'reserve')
   assert.is(reserve.replicaId, 'd1')
   assert.is(reserve.bookingId, 'id-1/2')
   assert.is(reserve.promptTokens, 3_000)
 })
 
 test('a request goes from reservation to prefill, confirmation and run', () => {
-  const send = only(runRequest(modelWorld()), 'send_run')
+  const send = only(runRequest(createModelSimulation()), 'send_run')
   assert.is(send.replicaId, 'd1')
   assert.is(send.source, 'p1:80/h')
 })
 
 test('a response to an earlier send is ignored', () => {
-  const simulation = modelWorld()
+  const simulation = createModelSimulation()
   const send = only(runRequest(simulation), 'send_run')
   assert.equal(simulation.send({ type: 'answer_complete', key: '1', attempt: send.attempt - 1, status: 200, outputEvents: 1 }), [])
 })
 
 test('the complete response is delivered and the booking is released', () => {
-  const simulation = modelWorld()
+  const simulation = createModelSimulation()
   const { attempt } = only(runRequest(simulation), 'send_run')
   simulation.send({ type: 'answer_started', key: '1', attempt })
   assert.equal(typesOf(simulation.send({ type: 'answer_complete', key: '1', attempt, status: 200, outputEvents: 9 })), ['deliver', 'release', 'forget'])
@@ -59,7 +59,7 @@
 })
 
 test('the response is aborted when a run that cannot be resumed fails after its first event', () => {
-  const simulation = modelWorld()
+  const simulation = createModelSimulation()
   const { attempt } = only(runRequest(simulation), 'send_run')
   simulation.send({ type: 'answer_started', key: '1', attempt })
   const effects = simulation.send({ type: 'run_failed', key: '1', attempt, failure: 'unknown', lastEventId: '4' })
@@ -67,7 +67,7 @@
 })
 
 test('a resumable run continues on another replica after its last event', () => {
-  const simulation = modelWorld({ isResumable: true, maxAttempts: 2 })
+  const simulation = createModelSimulation({ isResumable: true, maxAttempts: 2 })
   const { attempt } = only(runRequest(simulation), 'send_run')
   simulation.send({ type: 'answer_started', key: '1', attempt })
   const reserve = only(simulation.send({ type: 'run_failed', key: '1', attempt, failure: 'unknown', lastEventId: '4' }), 'reserve')
@@ -78,7 +78,7 @@
 })
 
 test('a stream that is resumed does not count as a late request', () => {
-  const simulation = modelWorld({ isResumable: true, maxAttempts: 2 })
+  const simulation = createModelSimulation({ isResumable: true, maxAttempts: 2 })
   const { attempt } = only(runRequest(simulation), 'send_run')
   simulation.send({ type: 'answer_started', key: '1', attempt })
   simulation.wait(3_000)
@@ -87,13 +87,13 @@
 })
 
 test('a run that may have started is not sent again when it is not resumable', () => {
-  const simulation = modelWorld()
+  const simulation = createModelSimulation()
   const { attempt } = only(runRequest(simulation), 'send_run')
   assert.is(only(simulation.send({ type: 'run_failed', key: '1', attempt, failure: 'unknown' }), 'refuse').status, 502)
 })
 
 test('the prefill of a refused run is used for the run on another replica', () => {
-  const simulation = modelWorld()
+  const simulation = createModelSimulation()
   const { attempt } = only(runRequest(simulation), 'send_run')
   const reserve = only(simulation.send({ type: 'run_failed', key: '1', attempt, failure: 'not_run' }), 'reserve')
   assert.is(reserve.replicaId, 'd2')
@@ -102,7 +102,7 @@
 })
 
 test('a request that fits no replica in time is refused at once, with a Retry-After', () => {
-  const simulation = modelWorld()
+  const simulation = createModelSimulation()
   simulation.send({ type: 'load_learned', load: loadOf('d1', 'decode', -20_000) })
   simulation.send({ type: 'load_learned', load: loadOf('d2', 'decode', -20_000) })
   const refuse = only(simulation.send(arrival('1')), 'refuse')
@@ -112,7 +112,7 @@
 })
 
 test('without a prefill replica the decode replica processes the prompt', () => {
-  const simulation = createWorld([summaryRoute()], [replicaOf('d1', 'decode')])
+  const simulation = createSimulation([summaryRoute()], [replicaOf('d1', 'decode')])
   simulation.send({ type: 'load_learned', load: loadOf('d1', 'decode', 30_000) })
   const reserve = only(simulation.send(arrival('1')), 'reserve')
   const send = only(simulation.send({ type: 'reserve_answered', key: '1', attempt: reserve.attempt, outcome: { type: 'granted' } }), 'send_run')
@@ -120,7 +120,7 @@
 })
 
 test('the booking and the prefill are released when the caller leaves', () => {
-  const simulation = modelWorld()
+  const simulation = createModelSimulation()
   const reserve = only(simulation.send(arrival('1')), 'reserve')
   const prefill = only(simulation.send({ type: 'reserve_answered', key: '1', attempt: reserve.attempt, outcome: { type: 'granted' } }), 'send_prefill')
   simulation.send({ type: 'prefill_answered', key: '1', attempt: prefill.attempt, outcome: { type: 'read', handle: 'h' } })
@@ -128,14 +128,14 @@
 })
 
 test('a request that was sent and got no response in time is answered 504', () => {
-  const simulation = modelWorld()
+  const simulation = createModelSimulation()
   runRequest(simulation)
   simulation.wait(14_000)
   assert.is(only(simulation.send({ type: 'deadline_passed', key: '1' }), 'refuse').status, 504)
 })
 
 test('a failed idempotent call is sent to another replica', () => {
-  const simulation = createWorld([plainRoute()], [replicaOf('a1', 'plain'), replicaOf('a2', 'plain')])
+  const simulation = createSimulation([plainRoute()], [replicaOf('a1', 'plain'), replicaOf('a2', 'plain')])
   for (let i = 0; i < 10; i++) simulation.send(arrival(`warm-${i}`, '/rates/1'))
   const first = only(simulation.send(arrival('1', '/rates/1')), 'send_run')
   const second = only(simulation.send({ type: 'run_failed', key: '1', attempt: first.attempt, failure: 'unknown' }), 'send_run')
@@ -143,19 +143,19 @@
 })
 
 test('a failed call that may not be repeated is answered 502, and not sent again', () => {
-  const simulation = createWorld([plainRoute({ kind: 'non_idempotent' })], [replicaOf('a1', 'plain'), replicaOf('a2', 'plain')])
+  const simulation = createSimulation([plainRoute({ kind: 'non_idempotent' })], [replicaOf('a1', 'plain'), replicaOf('a2', 'plain')])
   const { attempt } = only(simulation.send(arrival('1', '/rates/1')), 'send_run')
   assert.is(only(simulation.send({ type: 'run_failed', key: '1', attempt, failure: 'unknown' }), 'refuse').status, 502)
 })
 
 test('a call of any kind is sent to another replica if the first reports that it did not run it', () => {
-  const simulation = createWorld([plainRoute({ kind: 'non_idempotent', maxAttempts: 1 })], [replicaOf('a1', 'plain'), replicaOf('a2', 'plain')])
+  const simulation = createSimulation([plainRoute({ kind: 'non_idempotent', maxAttempts: 1 })], [replicaOf('a1', 'plain'), replicaOf('a2', 'plain')])
   const { attempt } = only(simulation.send(arrival('1', '/rates/1')), 'send_run')
   assert.ok(typesOf(simulation.send({ type: 'run_failed', key: '1', attempt, failure: 'not_run' })).includes('send_run'))
 })
 
 test('a resumable stream that does not start is aborted and retried on another replica', () => {
-  const simulation = modelWorld({ isResumable: true, maxAttempts: 2 })
+  const simulation = createModelSimulation({ isResumable: true, maxAttempts: 2 })
   const send = only(runRequest(simulation), 'send_run')
   assert.is(send.tryTimeoutMs, 300)
   const effects = simulation.send({ type: 'try_timed_out', key: '1', attempt: send.attempt })
@@ -164,11 +164,11 @@
 })
 
 test('a stream that may run only once has no timeout for its start', () => {
-  assert.is(only(runRequest(modelWorld()), 'send_run').tryTimeoutMs, undefined)
+  assert.is(only(runRequest(createModelSimulation()), 'send_run').tryTimeoutMs, undefined)
 })
 
 test('a stream that fails long after its arrival may wait for memory as long as its caller waits', () => {
-  const simulation = modelWorld({ isResumable: true, maxAttempts: 2 })
+  const simulation = createModelSimulation({ isResumable: true, maxAttempts: 2 })
   const send = only(runRequest(simulation), 'send_run')
   simulation.send({ type: 'answer_started', key: '1', attempt: send.attempt })
   simulation.wait(3_500)
@@ -177,19 +177,19 @@
 })
 
 test('a draining replica receives no requests', () => {
-  const simulation = createWorld([plainRoute()], [replicaOf('a1', 'plain', { isDraining: true })])
+  const simulation = createSimulation([plainRoute()], [replicaOf('a1', 'plain', { isDraining: true })])
   assert.is(only(simulation.send(arrival('1', '/rates/1')), 'refuse').reason, 'no_replica')
 })
 
 test('a replica whose address belongs to another one is avoided at once', () => {
-  const simulation = createWorld([plainRoute()], [replicaOf('a1', 'plain'), replicaOf('a2', 'plain')])
+  const simulation = createSimulation([plainRoute()], [replicaOf('a1', 'plain'), replicaOf('a2', 'plain')])
   const first = only(simulation.send(arrival('1', '/rates/1')), 'send_run')
   simulation.send({ type: 'run_failed', key: '1', attempt: first.attempt, failure: 'wrong_replica' })
   for (let i = 0; i < 8; i++) assert.is.not(only(simulation.send(arrival(`next-${i}`, '/rates/1')), 'send_run').replicaId, first.replicaId)
 })
 
 test('a stopping process refuses streams that it could not finish', () => {
-  const simulation = modelWorld()
+  const simulation = createModelSimulation()
   simulation.send({ type: 'stop_asked', graceMs: 7_300 })
   simulation.wait(2_000)
   assert.ok(typesOf(simulation.send(arrival('1'))).includes('reserve'))
@@ -198,7 +198,7 @@
 })
 
 test('the latency target of a retry counts from its first try, once the usual wait of callers is known', () => {
-  const simulation = modelWorld()
+  const simulation = createModelSimulation()
   const sendWithDeadline = (key: string, deadlineMs: number): number => {
     const event = arrival(key)
     if (event.type === 'request_arrived') simulation.send({ ...event, arrival: { ...event.arrival, deadlineMs } })
@@ -215,7 +215,7 @@
 })
 
 test('a caller does not count as a retry because the timeout of its route was shortened', () => {
-  const simulation = modelWorld()
+  const simulation = createModelSimulation()
   simulation.send(arrival('1'))
   simulation.send({ type: 'config_learned', config: configOf(2, [summaryRoute({ timeoutMs: 5_000 })]) })
   simulation.send(arrival('2'))
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterLoad.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterLoad.test.ts
@@ -1,19 +1,19 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { playLoad } from './LoadWorld.js'
-import type { Load } from './LoadWorld.js'
+import { simulateLoad } from './LoadWorld.js'
+import type { LoadScenario } from './LoadWorld.js'
 
 /** Eight streams a second, with a burst of twice that rate for four seconds. */
-const BURST: Load = { prefills: 1, decodes: 5, perSecond: [8, 8, 8, 8, 8, 16, 16, 16, 16, 8, 8, 8, 8, 8, 8] }
+const BURST: LoadScenario = { prefills: 1, decodes: 5, perSecond: [8, 8, 8, 8, 8, 16, 16, 16, 16, 8, 8, 8, 8, 8, 8] }
 
 /** Nearly twice the load that the memory of the decode replicas supports, for fifteen seconds. */
-const OVERLOAD: Load = { prefills: 1, decodes: 2, perSecond: Array.from({ length: 15 }, () => 12) }
+const OVERLOAD: LoadScenario = { prefills: 1, decodes: 2, perSecond: Array.from({ length: 15 }, () => 12) }
 
 // The figures are streams on time as callers see them. The gains of the mechanisms were overstated while the
 // simulation responded to an announced prompt as to a requested one and the entry sent the prompt a second time.
 test('a burst that one prefill replica cannot process is processed on the decode replicas: 129 of 152 on time before, 134 after', () => {
-  const before = playLoad({ ...BURST, decisions: { read: 'apart' } })
-  const after = playLoad(BURST)
+  const before = simulateLoad({ ...BURST, decisions: { read: 'apart' } })
+  const after = simulateLoad(BURST)
   assert.ok(after.onTime >= 130, `${after.onTime}`)
   assert.ok(after.onTime > before.onTime, `${before.onTime} to ${after.onTime}`)
   assert.ok(after.unserved <= before.unserved, `${before.unserved} to ${after.unserved}`)
@@ -21,30 +21,30 @@
 
 test('two thirds are on time after the loss of the only prefill replica', () => {
   const lost = [{ replicaId: 'p0', atMs: 3_000 }]
-  const { asked, onTime } = playLoad({ ...BURST, lost })
+  const { asked, onTime } = simulateLoad({ ...BURST, lost })
   assert.ok(onTime >= asked * 2 / 3, `${onTime} of ${asked}`)
 })
 
 test('under overload late requests take no memory from those on time: 79 of 180 on time before, 92 after', () => {
-  const before = playLoad({ ...OVERLOAD, decisions: { crowd: 'hold' } })
-  const after = playLoad(OVERLOAD)
+  const before = simulateLoad({ ...OVERLOAD, decisions: { crowd: 'hold' } })
+  const after = simulateLoad(OVERLOAD)
   assert.ok(after.onTime >= 80 && after.onTime >= before.onTime + 10, `${before.onTime} to ${after.onTime}`)
-  assert.ok(after.longestRefusalMs < before.longestRefusalMs, `${before.longestRefusalMs} to ${after.longestRefusalMs}`)
+  assert.ok(after.maxRefusalMs < before.maxRefusalMs, `${before.maxRefusalMs} to ${after.maxRefusalMs}`)
 })
 
 test('under overload retries by callers do not precede requests on time: 80 of 180 on time before, 92 after', () => {
-  const before = playLoad({ ...OVERLOAD, decisions: { returning: 'each_try' } })
-  const after = playLoad(OVERLOAD)
+  const before = simulateLoad({ ...OVERLOAD, decisions: { returning: 'each_try' } })
+  const after = simulateLoad(OVERLOAD)
   assert.ok(after.onTime >= 80 && after.onTime >= before.onTime + 10, `${before.onTime} to ${after.onTime}`)
 })
 
 /** A burst beyond the memory of four decode replicas, from callers whose timeouts differ by a tenth. */
-const DIFFERENT_TIMEOUTS: Load = { prefills: 2, decodes: 4, perSecond: [10, 10, 10, 10, 18, 18, 18, 18, 10, 10, 10, 10, 10], waitSpread: 0.05 }
+const DIFFERENT_TIMEOUTS: LoadScenario = { prefills: 2, decodes: 4, perSecond: [10, 10, 10, 10, 18, 18, 18, 18, 10, 10, 10, 10, 10], waitSpread: 0.05 }
 
 const WAIT_SEEDS = [11, 1, 2, 3, 4, 5, 6, 7]
 
-function sumOnTime (load: Load): number {
-  return WAIT_SEEDS.reduce((sum, seed) => sum + playLoad({ ...load, seed }).onTime, 0)
+function sumOnTime (load: LoadScenario): number {
+  return WAIT_SEEDS.reduce((sum, seed) => sum + simulateLoad({ ...load, seed }).onTime, 0)
 }
 
 test('callers with different timeouts do not count as late: 973 of 1,296 on time before, 1,088 after', () => {
@@ -63,7 +63,7 @@
 // A prompt is sent to a prefill replica again only after the previous replica failed or timed out.
 test('a prompt is sent again only after a response, failure or timeout of the previous send', () => {
   for (const load of [BURST, OVERLOAD]) {
-    const { prefillsSent, prefillsEnded } = playLoad(load)
+    const { prefillsSent, prefillsEnded } = simulateLoad(load)
     assert.ok(prefillsSent <= prefillsEnded, `${prefillsSent} sent, ${prefillsEnded} ended`)
   }
 })
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterLoads.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterLoads.test.ts
@@ -1,22 +1,22 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import type { RouterEffectOf } from '../../index.js'
-import { arrival, createWorld, loadOf, only, replicaOf, summaryRoute, typesOf } from './RouterWorld.js'
-import type { RouterWorld } from './RouterWorld.js'
+import { arrival, createSimulation, loadOf, only, replicaOf, summaryRoute, typesOf } from './RouterWorld.js'
+import type { RouterSimulation } from './RouterWorld.js'
 
-function createPoolSimulation (prefills: number, decodes: number): RouterWorld {
+function createPoolSimulation (prefills: number, decodes: number): RouterSimulation {
   const replicas = [
     ...Array.from({ length: prefills }, (_, i) => replicaOf(`p${i}`, 'prefill')),
     ...Array.from({ length: decodes }, (_, i) => replicaOf(`d${i}`, 'decode'))
   ]
-  return createWorld([summaryRoute()], replicas)
+  return createSimulation([summaryRoute()], replicas)
 }
 
-function queryLoads (simulation: RouterWorld, key: string): RouterEffectOf<'ask_loads'> {
+function queryLoads (simulation: RouterSimulation, key: string): RouterEffectOf<'ask_loads'> {
   return only(simulation.reduce(arrival(key)), 'ask_loads')
 }
 
-function answerLoads (simulation: RouterWorld, { replicaIds, request }: RouterEffectOf<'ask_loads'>, room = 30_000): string[] {
+function answerLoads (simulation: RouterSimulation, { replicaIds, request }: RouterEffectOf<'ask_loads'>, room = 30_000): string[] {
   for (const id of replicaIds) simulation.reduce({ type: 'load_learned', load: loadOf(id, id.startsWith('p') ? 'prefill' : 'decode', room) })
   return typesOf(simulation.reduce({ type: 'loads_answered', key: request?.key ?? '', attempt: request?.attempt ?? 0 }))
 }
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterNotice.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterNotice.test.ts
@@ -2,16 +2,16 @@
 import * as assert from 'uvu/assert'
 import { reduceRouter } from '../../index.js'
 import type { ReplicaNotice, RouterEffect } from '../../index.js'
-import { arrival, createWorld, loadOf, modelWorld, only, plainRoute, replicaOf, summaryRoute, typesOf } from './RouterWorld.js'
-import type { RouterWorld } from './RouterWorld.js'
+import { arrival, createSimulation, loadOf, createModelSimulation, only, plainRoute, replicaOf, summaryRoute, typesOf } from './RouterWorld.js'
+import type { RouterSimulation } from './RouterWorld.js'
 
 const BACKS_OFF: ReplicaNotice = { isLeaving: false, backoffMs: 3_000 }
 const LEAVES: ReplicaNotice = { isLeaving: true }
 
 const PLAIN = ['a1', 'a2'].map((id) => replicaOf(id, 'plain', { startedAtMs: 1 }))
 
-function createPlainSimulation (): RouterWorld {
-  return createWorld([plainRoute()], PLAIN)
+function createPlainSimulation (): RouterSimulation {
+  return createSimulation([plainRoute()], PLAIN)
 }
 
 function sentTo (effects: readonly RouterEffect[]): string {
@@ -19,7 +19,7 @@
 }
 
 /** Sends a request up to the confirmation of its memory at `d1`, after the prefill, and returns the attempt. */
-function sendUntilConfirm (simulation: RouterWorld): number {
+function sendUntilConfirm (simulation: RouterSimulation): number {
   const reserve = only(simulation.send(arrival('k1')), 'reserve')
   const prefill = only(simulation.send({ type: 'reserve_answered', key: 'k1', attempt: reserve.attempt, outcome: { type: 'granted' } }), 'send_prefill')
   return only(simulation.send({ type: 'prefill_answered', key: 'k1', attempt: prefill.attempt, outcome: { type: 'read', handle: 'h1' } }), 'confirm').attempt
@@ -33,7 +33,7 @@
   })
 
   test(`no run is sent to a replica that ${name} after its memory was granted`, () => {
-    const simulation = modelWorld()
+    const simulation = createModelSimulation()
     const attempt = sendUntilConfirm(simulation)
     simulation.send({ type: 'replica_spoke', replicaId: 'd1', notice })
     const effects = simulation.send({ type: 'confirm_answered', key: 'k1', attempt, outcome: 'free' })
@@ -42,7 +42,7 @@
   })
 
   test(`no prompt is sent to a replica that ${name} after memory was granted elsewhere`, () => {
-    const simulation = modelWorld()
+    const simulation = createModelSimulation()
     const reserve = only(simulation.send(arrival('k1')), 'reserve')
     simulation.send({ type: 'replica_spoke', replicaId: 'p1', notice })
     const run = only(simulation.send({ type: 'reserve_answered', key: 'k1', attempt: reserve.attempt, outcome: { type: 'granted' } }), 'send_run')
@@ -50,7 +50,7 @@
   })
 
   test(`no hold is requested from a replica that ${name}`, () => {
-    const simulation = modelWorld()
+    const simulation = createModelSimulation()
     const reserve = only(simulation.send(arrival('k1')), 'reserve')
     simulation.send({ type: 'replica_spoke', replicaId: 'd1', notice })
     const effects = simulation.send({ type: 'reserve_answered', key: 'k1', attempt: reserve.attempt, outcome: { type: 'unreachable' } })
@@ -59,14 +59,14 @@
 }
 
 test('a replica that reports its shutdown to its ledger gets no new requests', () => {
-  const simulation = modelWorld()
+  const simulation = createModelSimulation()
   simulation.send({ type: 'load_learned', load: { ...loadOf('d1', 'decode', 30_000), isLeaving: true } })
   assert.is(only(simulation.send(arrival('k1')), 'reserve').replicaId, 'd2')
 })
 
 test('a parked run is not sent to a replica that has sent a notice in the meantime', () => {
   for (const notice of [LEAVES, BACKS_OFF]) {
-    const simulation = modelWorld()
+    const simulation = createModelSimulation()
     const attempt = sendUntilConfirm(simulation)
     simulation.freeze(2_000)
     simulation.send({ type: 'confirm_answered', key: 'k1', attempt, outcome: 'free' })
@@ -78,7 +78,7 @@
 
 test('a replica that is shutting down or requests a backoff is not ordered to change its stage', () => {
   for (const notice of [LEAVES, BACKS_OFF]) {
-    const simulation = createWorld([summaryRoute()], ['d1', 'd2', 'd3', 'd4', 'd5'].map((id) => replicaOf(id, 'decode')))
+    const simulation = createSimulation([summaryRoute()], ['d1', 'd2', 'd3', 'd4', 'd5'].map((id) => replicaOf(id, 'decode')))
     simulation.state.poolIntent = { usualPrefillShare: 0.25, leastPrefillShare: 0.1, leastPrefillReplicas: 1, mostPrefillShare: 0.5 }
     for (const id of ['d1', 'd2', 'd3', 'd4', 'd5']) simulation.send({ type: 'load_learned', load: loadOf(id, 'decode', 37_000) })
     for (const id of ['d1', 'd2', 'd3']) simulation.send({ type: 'replica_spoke', replicaId: id, notice })
@@ -100,7 +100,7 @@
 })
 
 test('no prompt is queued, booked or processed while all replicas that could run it request a backoff', () => {
-  const simulation = modelWorld()
+  const simulation = createModelSimulation()
   for (const replicaId of ['d1', 'd2']) simulation.send({ type: 'replica_spoke', replicaId, notice: BACKS_OFF })
   const effects = simulation.send(arrival('k1'))
   assert.is(only(effects, 'refuse').retryAfterMs, 3_000)
@@ -117,7 +117,7 @@
 })
 
 test('a prefill handle, which expires anyway, is not released at a replica that requests a backoff', () => {
-  const simulation = modelWorld()
+  const simulation = createModelSimulation()
   sendUntilConfirm(simulation)
   simulation.send({ type: 'replica_spoke', replicaId: 'p1', notice: BACKS_OFF })
   assert.not.ok(typesOf(simulation.send({ type: 'caller_left', key: 'k1' })).includes('free_handle'))
@@ -149,14 +149,14 @@
 })
 
 test('a replica that restarts under its id is not bound by old notices where the platform reports no start times', () => {
-  const simulation = createWorld([plainRoute()], [replicaOf('a1', 'plain', { heartbeats: 5 })])
+  const simulation = createSimulation([plainRoute()], [replicaOf('a1', 'plain', { heartbeats: 5 })])
   simulation.send({ type: 'replica_spoke', replicaId: 'a1', notice: LEAVES })
   simulation.send({ type: 'replicas_changed', present: [replicaOf('a1', 'plain', { heartbeats: 1, revision: 9, registeredAtRevision: 9 })], gone: [] })
   assert.is(sentTo(simulation.send(arrival('k1', '/rates/1'))), 'a1')
 })
 
 test('a decode replica that requests a backoff is not a serving member of its pool', () => {
-  const simulation = modelWorld()
+  const simulation = createModelSimulation()
   simulation.send({ type: 'replica_spoke', replicaId: 'd1', notice: BACKS_OFF })
   simulation.send({ type: 'load_learned', load: loadOf('d1', 'decode', 30_000) })
   assert.is(only(simulation.send(arrival('k1')), 'reserve').replicaId, 'd2')
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterPoolFleet.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterPoolFleet.test.ts
@@ -2,8 +2,8 @@
 import * as assert from 'uvu/assert'
 import { balancePools } from '../../index.js'
 import type { PoolIntent, PoolMember, PoolWork, Replica, RouterEffect } from '../../index.js'
-import { createWorld, loadOf, replicaOf, summaryRoute } from './RouterWorld.js'
-import type { RouterWorld } from './RouterWorld.js'
+import { createSimulation, loadOf, replicaOf, summaryRoute } from './RouterWorld.js'
+import type { RouterSimulation } from './RouterWorld.js'
 
 const INTENT: PoolIntent = { usualPrefillShare: 0.25, leastPrefillShare: 0.1, leastPrefillReplicas: 1, mostPrefillShare: 0.5 }
 
@@ -27,7 +27,7 @@
   maxLoadRequests = 0
   /** Maximum number of replicas that changed their pool at the same time. */
   maxChanging = 0
-  private simulation: RouterWorld
+  private simulation: RouterSimulation
   private nowMs = 0
   private revision = 1
   private readonly changing = new Map<string, number>()
@@ -55,8 +55,8 @@
     }
   }
 
-  private createLeader (): RouterWorld {
-    const simulation = createWorld([summaryRoute()], this.replicas.map((replica) => this.registrationOf(replica)))
+  private createLeader (): RouterSimulation {
+    const simulation = createSimulation([summaryRoute()], this.replicas.map((replica) => this.registrationOf(replica)))
     simulation.state.poolIntent = INTENT
     return simulation
   }
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterPools.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterPools.test.ts
@@ -3,8 +3,8 @@
 import * as assert from 'uvu/assert'
 import { balancePools, confirmedIntent, digestPoolIntent } from '../../index.js'
 import type { PoolMember, Replica, RouterEffect } from '../../index.js'
-import { configOf, createWorld, loadOf, replicaOf, summaryRoute, typesOf } from './RouterWorld.js'
-import type { RouterWorld } from './RouterWorld.js'
+import { configOf, createSimulation, loadOf, replicaOf, summaryRoute, typesOf } from './RouterWorld.js'
+import type { RouterSimulation } from './RouterWorld.js'
 
 const INTENT = { usualPrefillShare: 0.25, leastPrefillShare: 0.1, leastPrefillReplicas: 1, mostPrefillShare: 0.5 }
 
@@ -115,7 +115,7 @@
 
 test('only the leader orders changes, and only with a confirmed intent', () => {
   const replicas = [replicaOf('p1', 'prefill'), replicaOf('p2', 'prefill'), replicaOf('d1', 'decode'), replicaOf('d2', 'decode')]
-  const simulation = createWorld([summaryRoute()], replicas)
+  const simulation = createSimulation([summaryRoute()], replicas)
   simulation.send({ type: 'config_learned', config: configOf(2, [summaryRoute()]) })
   for (const { replicaId, stage } of replicas) simulation.send({ type: 'load_learned', load: loadOf(replicaId, stage, 37_000) })
   assert.equal(simulation.send({ type: 'balance_due', fence: 3 }), [])
@@ -127,7 +127,7 @@
 
 test('an order to a replica that shuts down is reissued to another one immediately', () => {
   const replicas = ['d1', 'd2', 'd3'].map((id) => replicaOf(id, 'decode'))
-  const simulation = createWorld([summaryRoute()], replicas)
+  const simulation = createSimulation([summaryRoute()], replicas)
   for (const { replicaId } of replicas) simulation.send({ type: 'load_learned', load: loadOf(replicaId, 'decode', 37_000) })
   simulation.state.poolIntent = INTENT
   const [first] = simulation.send({ type: 'balance_due', fence: 3 })
@@ -140,22 +140,22 @@
 })
 
 /** Reports the loads of the replicas, with a share of the decode memory free and a backlog at the prefill replicas. */
-function reportLoads (simulation: RouterWorld, replicas: readonly Replica[], freeShare: number, backlogTokens: number): void {
+function reportLoads (simulation: RouterSimulation, replicas: readonly Replica[], freeShare: number, backlogTokens: number): void {
   for (const { replicaId, stage } of replicas) {
     const load = loadOf(replicaId, stage, stage === 'decode' ? 37_000 * freeShare : 37_000)
     simulation.send({ type: 'load_learned', load: { ...load, backlogTokens: stage === 'prefill' ? backlogTokens : 0 } })
   }
 }
 
-function tick (simulation: RouterWorld, replicas: readonly Replica[], freeShare: number, backlogTokens: number): RouterEffect[] {
+function tick (simulation: RouterSimulation, replicas: readonly Replica[], freeShare: number, backlogTokens: number): RouterEffect[] {
   simulation.wait(500)
   reportLoads(simulation, replicas, freeShare, backlogTokens)
   return simulation.send({ type: 'balance_due', fence: 3 }).filter(({ type }) => type === 'order_stage')
 }
 
-function createBurstSimulation (): { readonly simulation: RouterWorld, readonly replicas: readonly Replica[] } {
+function createBurstSimulation (): { readonly simulation: RouterSimulation, readonly replicas: readonly Replica[] } {
   const replicas = [...['p1', 'p2', 'p3'].map((id) => replicaOf(id, 'prefill')), ...['d1', 'd2', 'd3'].map((id) => replicaOf(id, 'decode'))]
-  const simulation = createWorld([summaryRoute()], replicas)
+  const simulation = createSimulation([summaryRoute()], replicas)
   simulation.state.poolIntent = INTENT
   return { simulation, replicas }
 }
@@ -185,7 +185,7 @@
 
 test('the last replica is ordered immediately, also shortly after an earlier order and by a new leader', () => {
   const replicas = [...['p1', 'p2', 'p3'].map((id) => replicaOf(id, 'prefill')), ...['d1', 'd2', 'd3'].map((id) => replicaOf(id, 'decode'))]
-  const simulation = createWorld([summaryRoute()], replicas)
+  const simulation = createSimulation([summaryRoute()], replicas)
   for (const { replicaId, stage } of replicas) simulation.send({ type: 'load_learned', load: loadOf(replicaId, stage, 37_000) })
   simulation.state.poolIntent = INTENT
   assert.equal(typesOf(simulation.send({ type: 'balance_due', fence: 3 })), ['order_stage'], 'three of six exceed the usual share')
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterPrefillQueue.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterPrefillQueue.test.ts
@@ -1,9 +1,9 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { arrival, loadOf, modelWorld, only } from './RouterWorld.js'
+import { arrival, loadOf, createModelSimulation, only } from './RouterWorld.js'
 
 test('a request waits for a slot at a busy prefill replica before it books decode memory', () => {
-  const simulation = modelWorld()
+  const simulation = createModelSimulation()
   simulation.send({ type: 'load_learned', load: { ...loadOf('p1', 'prefill', 0), backlogTokens: 9_000 } })
   const queue = only(simulation.send(arrival('1')), 'queue_prefill')
   assert.is(queue.replicaId, 'p1')
@@ -13,7 +13,7 @@
 })
 
 test('a request that no prefill replica can serve in time is refused with the retry delay', () => {
-  const simulation = modelWorld()
+  const simulation = createModelSimulation()
   simulation.send({ type: 'load_learned', load: { ...loadOf('p1', 'prefill', 0), backlogTokens: 9_000 } })
   const queue = only(simulation.send(arrival('1')), 'queue_prefill')
   const refuse = only(simulation.send({ type: 'prefill_queue_answered', key: '1', attempt: queue.attempt, outcome: { type: 'refused', retryAfterMs: 2_000 } }), 'refuse')
@@ -21,14 +21,14 @@
 })
 
 test('a caller that disconnects releases its place in the prefill queue', () => {
-  const simulation = modelWorld()
+  const simulation = createModelSimulation()
   simulation.send({ type: 'load_learned', load: { ...loadOf('p1', 'prefill', 0), backlogTokens: 9_000 } })
   const queue = only(simulation.send(arrival('1')), 'queue_prefill')
   assert.is(only(simulation.send({ type: 'caller_left', key: '1' }), 'release').bookingId, queue.bookingId)
 })
 
 test('a request that waited for a prefill slot is retried when the decode replica refuses the run', () => {
-  const simulation = modelWorld()
+  const simulation = createModelSimulation()
   simulation.send({ type: 'load_learned', load: { ...loadOf('p1', 'prefill', 0), backlogTokens: 9_000 } })
   const queue = only(simulation.send(arrival('1')), 'queue_prefill')
   const reserve = only(simulation.send({ type: 'prefill_queue_answered', key: '1', attempt: queue.attempt, outcome: { type: 'granted' } }), 'reserve')
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterRateLimit.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterRateLimit.test.ts
@@ -1,8 +1,8 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import type { LimitNotice, PermitOutcome, RouterEffect } from '../../index.js'
-import { arrival, createWorld, loadOf, modelWorld, only, plainRoute, replicaOf, summaryRoute, typesOf } from './RouterWorld.js'
-import type { RouterWorld } from './RouterWorld.js'
+import { arrival, createSimulation, loadOf, createModelSimulation, only, plainRoute, replicaOf, summaryRoute, typesOf } from './RouterWorld.js'
+import type { RouterSimulation } from './RouterWorld.js'
 
 const PLAIN_REPLICAS = ['a1', 'a2'].map((id) => replicaOf(id, 'plain', { startedAtMs: 1 }))
 const PATH = '/rates/1'
@@ -11,12 +11,12 @@
   return { type: 'named', perS }
 }
 
-function createPlainSimulation (): RouterWorld {
-  return createWorld([plainRoute()], PLAIN_REPLICAS)
+function createPlainSimulation (): RouterSimulation {
+  return createSimulation([plainRoute()], PLAIN_REPLICAS)
 }
 
 /** Delivers the limit notice in the response of a replica to a request that was sent `sentAgoMs` ago. */
-function deliverLimit (simulation: RouterWorld, replicaId: string, limit: LimitNotice, sentAgoMs = 0): RouterEffect[] {
+function deliverLimit (simulation: RouterSimulation, replicaId: string, limit: LimitNotice, sentAgoMs = 0): RouterEffect[] {
   return simulation.send({ type: 'replica_spoke', replicaId, notice: { isLeaving: false, limit }, sentAtMs: simulation.nowMs() - sentAgoMs })
 }
 
@@ -25,13 +25,13 @@
 }
 
 /** Delivers the response of the leader to the permit request among the effects. */
-function deliverPermits (simulation: RouterWorld, effects: readonly RouterEffect[], outcome: PermitOutcome): RouterEffect[] {
+function deliverPermits (simulation: RouterSimulation, effects: readonly RouterEffect[], outcome: PermitOutcome): RouterEffect[] {
   const { ask, replicaId } = only(effects, 'ask_permits')
   return simulation.send({ type: 'permits_answered', replicaId, ask, outcome })
 }
 
 /** Creates a simulation in which both replicas advertise a limit and the leader has leased no permits. */
-function createLimitedSimulation (): RouterWorld {
+function createLimitedSimulation (): RouterSimulation {
   const simulation = createPlainSimulation()
   for (const replicaId of ['a1', 'a2']) deliverPermits(simulation, deliverLimit(simulation, replicaId, advertised(5)), leased(0))
   return simulation
@@ -150,7 +150,7 @@
 })
 
 test('a call that waits for a permit is refused when its replica disappears meanwhile', () => {
-  const simulation = createWorld([plainRoute()], [PLAIN_REPLICAS[0] as (typeof PLAIN_REPLICAS)[number]])
+  const simulation = createSimulation([plainRoute()], [PLAIN_REPLICAS[0] as (typeof PLAIN_REPLICAS)[number]])
   deliverPermits(simulation, deliverLimit(simulation, 'a1', advertised(5)), leased(0))
   simulation.wait(250)
   const effects = simulation.send(arrival('k1', PATH))
@@ -159,7 +159,7 @@
 })
 
 test('a run whose permit has expired reserves another replica and returns the permit', () => {
-  const simulation = modelWorld()
+  const simulation = createModelSimulation()
   deliverPermits(simulation, deliverLimit(simulation, 'd1', advertised(5)), leased(1))
   const reserve = only(simulation.send(arrival('k1')), 'reserve')
   simulation.wait(2_200)
@@ -171,7 +171,7 @@
 })
 
 test('a limit that a ledger reports applies before the first response of the replica to this entry', () => {
-  const simulation = modelWorld()
+  const simulation = createModelSimulation()
   simulation.send({ type: 'load_learned', load: { ...loadOf('d1', 'decode', 30_000), limitPerS: 5 } })
   assert.is(only(simulation.send(arrival('k1')), 'reserve').replicaId, 'd2')
 })
@@ -194,7 +194,7 @@
 })
 
 test('the permit of a run is taken with its reservation and stays valid while its prompt is processed', () => {
-  const simulation = modelWorld()
+  const simulation = createModelSimulation()
   deliverPermits(simulation, deliverLimit(simulation, 'd1', advertised(5)), leased(1))
   const reserve = only(simulation.send(arrival('k1')), 'reserve')
   assert.is(reserve.replicaId, 'd1')
@@ -207,7 +207,7 @@
 })
 
 test('a prompt is processed on the decode replica when the prefill replica has no permit', () => {
-  const simulation = modelWorld()
+  const simulation = createModelSimulation()
   deliverPermits(simulation, deliverLimit(simulation, 'p1', advertised(5)), leased(0))
   const reserve = only(simulation.send(arrival('k1')), 'reserve')
   const run = only(simulation.send({ type: 'reserve_answered', key: 'k1', attempt: reserve.attempt, outcome: { type: 'granted' } }), 'send_run')
@@ -216,7 +216,7 @@
 
 test('a result is freed at a replica that advertises a limit only with a permit', () => {
   for (const permits of [0, 1]) {
-    const simulation = modelWorld()
+    const simulation = createModelSimulation()
     const reserve = only(simulation.send(arrival('k1')), 'reserve')
     const prefill = only(simulation.send({ type: 'reserve_answered', key: 'k1', attempt: reserve.attempt, outcome: { type: 'granted' } }), 'send_prefill')
     deliverPermits(simulation, deliverLimit(simulation, prefill.replicaId, advertised(5)), leased(permits))
@@ -227,7 +227,7 @@
 })
 
 test('a replica without a permit gets no stage order and no request to hold memory', () => {
-  const simulation = createWorld([summaryRoute()], ['d1', 'd2', 'd3', 'd4', 'd5'].map((id) => replicaOf(id, 'decode')))
+  const simulation = createSimulation([summaryRoute()], ['d1', 'd2', 'd3', 'd4', 'd5'].map((id) => replicaOf(id, 'decode')))
   for (const id of ['d1', 'd2', 'd3', 'd4', 'd5']) {
     simulation.send({ type: 'load_learned', load: loadOf(id, 'decode', 30_000) })
     deliverPermits(simulation, deliverLimit(simulation, id, advertised(5)), leased(0))
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterReading.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterReading.test.ts
@@ -1,10 +1,10 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { arrival, createWorld, loadOf, modelWorld, only, replicaOf, summaryRoute } from './RouterWorld.js'
-import type { RouterWorld } from './RouterWorld.js'
+import { arrival, createSimulation, loadOf, createModelSimulation, only, replicaOf, summaryRoute } from './RouterWorld.js'
+import type { RouterSimulation } from './RouterWorld.js'
 
-function createBusyPrefillSimulation (change: Parameters<typeof modelWorld>[0] = {}): RouterWorld {
-  const simulation = modelWorld(change)
+function createBusyPrefillSimulation (change: Parameters<typeof createModelSimulation>[0] = {}): RouterSimulation {
+  const simulation = createModelSimulation(change)
   simulation.send({ type: 'load_learned', load: { ...loadOf('p1', 'prefill', 0), backlogTokens: 16_000 } })
   return simulation
 }
@@ -18,7 +18,7 @@
 })
 
 test('a prompt is processed on an idle prefill replica', () => {
-  const reserve = only(modelWorld().send(arrival('1')), 'reserve')
+  const reserve = only(createModelSimulation().send(arrival('1')), 'reserve')
   assert.is(reserve.readsInPlace, false)
 })
 
@@ -37,7 +37,7 @@
 })
 
 test('without a prefill replica prompts are processed on the decode replica, also after a wait for memory', () => {
-  const simulation = createWorld([summaryRoute()], [replicaOf('d1', 'decode')])
+  const simulation = createSimulation([summaryRoute()], [replicaOf('d1', 'decode')])
   simulation.send({ type: 'load_learned', load: { ...loadOf('d1', 'decode', 0), roomTokens: [0, 0, 30_000, 30_000, 30_000, 30_000, 30_000, 30_000, 30_000, 30_000] } })
   const reserve = only(simulation.send(arrival('1')), 'reserve')
   assert.is(reserve.readsInPlace, true)
@@ -62,14 +62,14 @@
 })
 
 test('a request reserves another decode replica when its replica is lost', () => {
-  const simulation = modelWorld()
+  const simulation = createModelSimulation()
   const reserve = only(simulation.send(arrival('1')), 'reserve')
   const effects = simulation.send({ type: 'reserve_answered', key: '1', attempt: reserve.attempt, outcome: { type: 'replica_lost' } })
   assert.is(only(effects, 'reserve').replicaId, 'd2')
 })
 
 test('a prompt is processed on the decode replica when its prefill replica is lost', () => {
-  const simulation = modelWorld()
+  const simulation = createModelSimulation()
   simulation.send({ type: 'load_learned', load: { ...loadOf('p1', 'prefill', 0), backlogTokens: 9_000 } })
   const queue = only(simulation.send(arrival('1')), 'queue_prefill')
   const effects = simulation.send({ type: 'prefill_queue_answered', key: '1', attempt: queue.attempt, outcome: { type: 'replica_lost' } })
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterRefusals.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterRefusals.test.ts
@@ -6,8 +6,8 @@
 // gone was charged once for both the prefill and the run; and each entry had a reserve of its own.
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { playRefusals } from './RefusalWorld.js'
-import type { Reached, RefusalPlay } from './RefusalWorld.js'
+import { simulateRefusals } from './RefusalWorld.js'
+import type { ServiceTraffic, RefusalScenario } from './RefusalWorld.js'
 
 const WINDOW_MS = 10_000
 const LIMITS = { ratio: 0.2, reserve: 0, windowMs: WINDOW_MS }
@@ -19,7 +19,7 @@
   return atMs >= 21_000 && atMs % 2_000 < 500 ? 0.8 : 0
 }
 
-function scenarioOf (entries: number, perSecond: number, seed: number): RefusalPlay {
+function scenarioOf (entries: number, perSecond: number, seed: number): RefusalScenario {
   return { entries, seed, seconds: 26, limits: LIMITS, refusedShare, perSecond: (atMs) => atMs >= 6_000 && atMs < 9_000 ? 2 * perSecond : perSecond }
 }
 
@@ -38,8 +38,8 @@
   return low
 }
 
-function assertWithinBudget ({ extras, requests }: Reached): void {
-  const sendTimes = [...extras].sort((one, other) => one - other)
+function assertWithinBudget ({ extraSends, requests }: ServiceTraffic): void {
+  const sendTimes = [...extraSends].sort((one, other) => one - other)
   const requestTimes = [...requests].sort((one, other) => one - other)
   for (const fromMs of sendTimes) {
     const allowed = LIMITS.ratio * Math.max(countIn(requestTimes, fromMs), countIn(requestTimes, fromMs - WINDOW_MS), countIn(requestTimes, fromMs - WINDOW_MS / 2))
@@ -51,7 +51,7 @@
 for (const { entries, perSecond, seeds } of [{ entries: 1, perSecond: 30, seeds: 12 }, { entries: 5, perSecond: 60, seeds: 12 }, { entries: 68, perSecond: 272, seeds: 2 }, { entries: 840, perSecond: 840, seeds: 1 }]) {
   test(`repeats that reach a refusing service stay within the budget with ${entries} entries`, () => {
     for (let seed = 1; seed <= seeds; seed++) {
-      const { calls, prompts } = playRefusals(scenarioOf(entries, perSecond, seed))
+      const { calls, prompts } = simulateRefusals(scenarioOf(entries, perSecond, seed))
       assertWithinBudget(prompts)
       assertWithinBudget(calls)
     }
@@ -60,7 +60,7 @@
 
 test('retries are sent and raise the number of served requests', () => {
   const scenario = { ...scenarioOf(5, 60, 3), refusedShare: () => 0.1 }
-  const { asked, repeats, served } = playRefusals(scenario)
+  const { asked, repeats, served } = simulateRefusals(scenario)
   assert.ok(repeats > 0.08 * asked, `${repeats} repeats`)
   assert.ok(served > 0.95 * asked, `${served} of ${asked} served`)
 })
@@ -69,24 +69,24 @@
 const SERVED_WITHOUT_RETRIES = (0.9 + 0.9 ** 2) / 2
 
 test('an entry with four requests per second may retry, which recovers half of the requests lost to refusals', () => {
-  const { asked, repeats, served } = playRefusals({ ...scenarioOf(68, 272, 1), refusedShare: () => 0.1 })
+  const { asked, repeats, served } = simulateRefusals({ ...scenarioOf(68, 272, 1), refusedShare: () => 0.1 })
   assert.ok(repeats > 0.05 * asked, `${repeats} repeats of ${asked}`)
   assert.ok(served >= (1 + SERVED_WITHOUT_RETRIES) / 2 * asked, `${served} of ${asked} served`)
 })
 
 test('few prompts are processed in vain while half of the runs are refused', () => {
-  const { promptsRead, promptsUsed } = playRefusals({ ...scenarioOf(5, 60, 2), refusedShare: (atMs) => atMs >= 3_000 ? 0.5 : 0 })
-  const lost = promptsRead - promptsUsed
-  assert.ok(lost < 0.2 * promptsRead, `${lost} of ${promptsRead} processed in vain`)
+  const { promptsProcessed, promptsUsed } = simulateRefusals({ ...scenarioOf(5, 60, 2), refusedShare: (atMs) => atMs >= 3_000 ? 0.5 : 0 })
+  const lost = promptsProcessed - promptsUsed
+  assert.ok(lost < 0.2 * promptsProcessed, `${lost} of ${promptsProcessed} processed in vain`)
 })
 
 test('few prompts are processed while no run has ever been accepted', () => {
-  const { prompts, promptsRead } = playRefusals({ ...scenarioOf(5, 60, 2), seconds: 6, refusedShare: () => 0, refusedRuns: () => 1 })
-  assert.ok(promptsRead < 0.2 * prompts.requests.length, `${promptsRead} of ${prompts.requests.length} processed`)
+  const { prompts, promptsProcessed } = simulateRefusals({ ...scenarioOf(5, 60, 2), seconds: 6, refusedShare: () => 0, refusedRuns: () => 1 })
+  assert.ok(promptsProcessed < 0.2 * prompts.requests.length, `${promptsProcessed} of ${prompts.requests.length} processed`)
 })
 
 test('prompts are processed on prefill replicas again once replicas accept work', () => {
-  const { asked, served } = playRefusals({ ...scenarioOf(5, 60, 2), refusedShare: (atMs) => atMs >= 3_000 && atMs < 5_000 ? 1 : 0 })
+  const { asked, served } = simulateRefusals({ ...scenarioOf(5, 60, 2), refusedShare: (atMs) => atMs >= 3_000 && atMs < 5_000 ? 1 : 0 })
   assert.ok(served > 0.85 * asked, `${served} of ${asked} served`)
 })
 
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterRestarts.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterRestarts.test.ts
@@ -2,17 +2,17 @@
 import * as assert from 'uvu/assert'
 import { createLedgerState, reduceLedger } from '../../index.js'
 import type { LedgerState, Replica, ReplicaStage, RouterEffect } from '../../index.js'
-import { arrival, createWorld, loadOf, only, plainRoute, replicaOf, summaryRoute, typesOf } from './RouterWorld.js'
-import type { RouterWorld } from './RouterWorld.js'
+import { arrival, createSimulation, loadOf, only, plainRoute, replicaOf, summaryRoute, typesOf } from './RouterWorld.js'
+import type { RouterSimulation } from './RouterWorld.js'
 
 const FIRST_MS = 1_000
 const SECOND_MS = 9_000
 
 const replicaStartedAt = (replicaId: string, stage: ReplicaStage, startedAtMs: number, revision: number): Replica => replicaOf(replicaId, stage, { startedAtMs, revision })
-const updateReplicas = (simulation: RouterWorld, ...present: readonly Replica[]): RouterEffect[] => simulation.send({ type: 'replicas_changed', present, gone: [] })
+const updateReplicas = (simulation: RouterSimulation, ...present: readonly Replica[]): RouterEffect[] => simulation.send({ type: 'replicas_changed', present, gone: [] })
 
-function createPlainSimulation (): RouterWorld {
-  return createWorld([plainRoute()], [replicaStartedAt('a', 'plain', FIRST_MS, 1)])
+function createPlainSimulation (): RouterSimulation {
+  return createSimulation([plainRoute()], [replicaStartedAt('a', 'plain', FIRST_MS, 1)])
 }
 
 test('the view of a replica is reset when the replica restarts', () => {
@@ -34,7 +34,7 @@
 })
 
 test('a non-idempotent call is not repeated at the new process', () => {
-  const simulation = createWorld([plainRoute({ kind: 'non_idempotent', maxAttempts: 1 })], [replicaStartedAt('a', 'plain', FIRST_MS, 1)])
+  const simulation = createSimulation([plainRoute({ kind: 'non_idempotent', maxAttempts: 1 })], [replicaStartedAt('a', 'plain', FIRST_MS, 1)])
   const sent = only(simulation.send(arrival('1', '/rates/1')), 'send_run')
   updateReplicas(simulation, replicaStartedAt('a', 'plain', SECOND_MS, 2))
   assert.is(only(simulation.send({ type: 'run_failed', key: '1', attempt: sent.attempt, failure: 'unknown' }), 'refuse').status, 502)
@@ -77,20 +77,20 @@
 })
 
 test('of two processes at one address the one that started later is used, whichever registered first', () => {
-  const simulation = createWorld([plainRoute()], [])
+  const simulation = createSimulation([plainRoute()], [])
   updateReplicas(simulation, replicaOf('old', 'plain', { address: 'a:80', startedAtMs: FIRST_MS, registeredAtRevision: 8 }), replicaOf('new', 'plain', { address: 'a:80', startedAtMs: SECOND_MS, registeredAtRevision: 3 }))
   assert.equal([...simulation.state.replicas.keys()], ['new'])
 })
 
 test('without a start time, a new registration whose heartbeats restart at one is another process', () => {
-  const simulation = createWorld([plainRoute()], [replicaOf('a', 'plain', { heartbeats: 30 })])
+  const simulation = createSimulation([plainRoute()], [replicaOf('a', 'plain', { heartbeats: 30 })])
   only(simulation.send(arrival('1', '/rates/1')), 'send_run')
   updateReplicas(simulation, replicaOf('a', 'plain', { heartbeats: 1, registeredAtRevision: 9, revision: 9 }))
   assert.is(simulation.state.replicas.get('a')?.inFlight, 0)
 })
 
 test('a prefill result is lost with the process that holds it', () => {
-  const simulation = createWorld([summaryRoute()], [replicaStartedAt('p1', 'prefill', FIRST_MS, 1), replicaStartedAt('d1', 'decode', FIRST_MS, 1)])
+  const simulation = createSimulation([summaryRoute()], [replicaStartedAt('p1', 'prefill', FIRST_MS, 1), replicaStartedAt('d1', 'decode', FIRST_MS, 1)])
   simulation.send({ type: 'load_learned', load: loadOf('d1', 'decode', 30_000) })
   const reserve = only(simulation.send(arrival('1')), 'reserve')
   const prefill = only(simulation.send({ type: 'reserve_answered', key: '1', attempt: reserve.attempt, outcome: { type: 'granted' } }), 'send_prefill')
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterStalls.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterStalls.test.ts
@@ -1,16 +1,16 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import type { RouterEffect } from '../../index.js'
-import { arrival, createWorld, only, plainRoute, replicaOf, typesOf } from './RouterWorld.js'
-import type { RouterWorld } from './RouterWorld.js'
+import { arrival, createSimulation, only, plainRoute, replicaOf, typesOf } from './RouterWorld.js'
+import type { RouterSimulation } from './RouterWorld.js'
 
 const ANSWER_MS = 60
 const DEADLINE_MS = 4_000
 const BOOKING = plainRoute({ name: 'booking', pathPrefix: '/bookings/', kind: 'non_idempotent', timeoutMs: DEADLINE_MS, maxAttempts: 1 })
 const REPLICAS = ['a0', 'a1', 'a2', 'a3', 'a4'].map((id) => replicaOf(id, 'plain'))
 
-function createStallSimulation (): RouterWorld {
-  return createWorld([plainRoute(), BOOKING], REPLICAS)
+function createStallSimulation (): RouterSimulation {
+  return createSimulation([plainRoute(), BOOKING], REPLICAS)
 }
 
 /** Simulates replicas that never answer some of the calls and answer the others after a fixed time. */
@@ -19,7 +19,7 @@
   private readonly due: Array<{ readonly atMs: number, readonly run: () => RouterEffect[] }> = []
   private nowMs = 0
 
-  constructor (private readonly simulation: RouterWorld, private readonly hangs: (replicaId: string, path: string) => boolean) {}
+  constructor (private readonly simulation: RouterSimulation, private readonly hangs: (replicaId: string, path: string) => boolean) {}
 
   call (key: string, path: string): void {
     const run = this.simulation.send(arrival(key, path)).find(({ type }) => type === 'send_run')
@@ -88,7 +88,7 @@
 })
 
 test('a late response clears the health record of the route', () => {
-  const simulation = createWorld([BOOKING], [replicaOf('a0', 'plain')])
+  const simulation = createSimulation([BOOKING], [replicaOf('a0', 'plain')])
   const run = only(simulation.send(arrival('1', '/bookings/1')), 'send_run')
   simulation.wait(1_000)
   assert.is(simulation.state.replicas.get('a0')?.routes.get('booking')?.overdue.size, 1)
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterStandstill.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterStandstill.test.ts
@@ -1,13 +1,13 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { createBudget } from '../../index.js'
-import { arrival, createWorld, modelWorld, only, plainRoute, replicaOf, summaryRoute, typesOf } from './RouterWorld.js'
-import type { RouterWorld } from './RouterWorld.js'
+import { arrival, createSimulation, createModelSimulation, only, plainRoute, replicaOf, summaryRoute, typesOf } from './RouterWorld.js'
+import type { RouterSimulation } from './RouterWorld.js'
 
 const PAUSES_MS = [1_100, 3_000, 10_000]
 
-function createPlainSimulation (): RouterWorld {
-  return createWorld([plainRoute(), summaryRoute()], [replicaOf('a1', 'plain'), replicaOf('a2', 'plain')])
+function createPlainSimulation (): RouterSimulation {
+  return createSimulation([plainRoute(), summaryRoute()], [replicaOf('a1', 'plain'), replicaOf('a2', 'plain')])
 }
 
 test('a process sends nothing after a pause until it has read the registrations again', () => {
@@ -33,7 +33,7 @@
 })
 
 test('a prompt whose memory was granted before a pause is not sent until the registrations are read', () => {
-  const simulation = modelWorld()
+  const simulation = createModelSimulation()
   const reserve = only(simulation.send(arrival('1')), 'reserve')
   simulation.freeze(2_000)
   const effects = simulation.send({ type: 'reserve_answered', key: '1', attempt: reserve.attempt, outcome: { type: 'granted' } })
@@ -42,7 +42,7 @@
 })
 
 test('a repeated response to a step from before the pause is dropped while the request is parked', () => {
-  const simulation = modelWorld()
+  const simulation = createModelSimulation()
   const reserve = only(simulation.send(arrival('1')), 'reserve')
   simulation.freeze(2_000)
   simulation.send({ type: 'reserve_answered', key: '1', attempt: reserve.attempt, outcome: { type: 'granted' } })
@@ -56,8 +56,8 @@
 // result was tried again.
 const PREFILL_HANDLE = { type: 'read' as const, handle: 'h' }
 
-function createPrefillSimulation (): { readonly simulation: RouterWorld, readonly attempt: number } {
-  const simulation = modelWorld()
+function createPrefillSimulation (): { readonly simulation: RouterSimulation, readonly attempt: number } {
+  const simulation = createModelSimulation()
   const reserve = only(simulation.send(arrival('1')), 'reserve')
   const effects = simulation.send({ type: 'reserve_answered', key: '1', attempt: reserve.attempt, outcome: { type: 'granted' } })
   return { simulation, attempt: only(effects, 'send_prefill').attempt }
@@ -128,7 +128,7 @@
 })
 
 test('loads from before a suspension are not used after it', () => {
-  const simulation = modelWorld()
+  const simulation = createModelSimulation()
   simulation.send({ type: 'time_passed', suspendedMs: 2_000 })
   simulation.send({ type: 'replicas_refreshed' })
   assert.ok(only(simulation.reduce(arrival('1')), 'ask_loads').replicaIds.includes('d1'))
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterSubset.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterSubset.test.ts
@@ -1,13 +1,13 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { SUBSET_SIZE } from '../../index.js'
-import { arrival, createWorld, loadOf, only, replicaOf, summaryRoute } from './RouterWorld.js'
-import type { RouterWorld } from './RouterWorld.js'
+import { arrival, createSimulation, loadOf, only, replicaOf, summaryRoute } from './RouterWorld.js'
+import type { RouterSimulation } from './RouterWorld.js'
 
 const PREFILLS = Array.from({ length: 3 }, (_, i) => replicaOf(`p${i}`, 'prefill'))
 
-function simulationWith (decodes: number): RouterWorld {
-  return createWorld([summaryRoute()], [...PREFILLS, ...Array.from({ length: decodes }, (_, i) => replicaOf(`d${i}`, 'decode'))])
+function simulationWith (decodes: number): RouterSimulation {
+  return createSimulation([summaryRoute()], [...PREFILLS, ...Array.from({ length: decodes }, (_, i) => replicaOf(`d${i}`, 'decode'))])
 }
 
 test('all replicas of a small fleet are used', () => {
--- a/packages/bendfall-router/src/__tests__/unit/CrashWorld.ts
+++ b/packages/bendfall-router/src/__tests__/unit/CrashWorld.ts
@@ -4,7 +4,7 @@
 import { VirtualTime } from './VirtualTime.js'
 
 /** Scenario of entries that send requests to crashing replicas, in virtual time. */
-export interface CrashPlay {
+export interface CrashScenario {
   readonly seed: number
   readonly entries: number
   readonly replicas: number
@@ -12,11 +12,11 @@
   /** Requests per second of all callers: half of them share one fingerprint, the others each have their own. */
   readonly perSecond: number
   /** Interval between the arrivals of a request that crashes every replica that runs it. */
-  readonly poisonEachMs?: number
+  readonly poisonIntervalMs?: number
   /** Number of copies of that request that arrive at the same time, at randomly chosen entries. */
-  readonly poisonsAtOnce?: number
+  readonly poisonsPerInterval?: number
   /** Interval between crashes that no request causes. */
-  readonly crashEachMs?: number
+  readonly crashIntervalMs?: number
   /** Time at which a third of the replicas crash. */
   readonly zoneLostAtMs?: number
   /** Delay between the crashes of the first and the second half of that third. */
@@ -57,7 +57,7 @@
 interface Process { readonly replica: Replica, readonly running: Set<Running>, hasEnded: boolean }
 
 /** Simulates a crash scenario. */
-export function playCrashes (scenario: CrashPlay): CrashOutcome {
+export function simulateCrashes (scenario: CrashScenario): CrashOutcome {
   return new CrashSimulation(scenario).simulate()
 }
 
@@ -72,7 +72,7 @@
   private asked = 0
   private reports = 0
 
-  constructor (private readonly scenario: CrashPlay) {
+  constructor (private readonly scenario: CrashScenario) {
     this.time = new VirtualTime(scenario.seed)
     this.entries = Array.from({ length: scenario.entries }, (_, i) => createRouterState(scenario.seed + i, `entry-${i}`))
     const config = configOf(1, [plainRoute({ maxAttempts: 2 })])
@@ -85,13 +85,13 @@
   }
 
   simulate (): CrashOutcome {
-    const { crashEachMs, perSecond, poisonEachMs, poisonsAtOnce = 1, seconds, zoneLostAtMs, zoneStepMs = 0 } = this.scenario
+    const { crashIntervalMs, perSecond, poisonIntervalMs, poisonsPerInterval = 1, seconds, zoneLostAtMs, zoneStepMs = 0 } = this.scenario
     const endMs = seconds * 1_000
     for (let i = 0; i < perSecond * seconds; i++) this.time.at(this.time.draw() * endMs, () => this.submit(i % 2 === 0 ? 'polled' : `own-${i}`))
-    this.repeat(poisonEachMs, () => { for (let i = 0; i < poisonsAtOnce; i++) this.submit(POISON) })
-    this.repeat(crashEachMs, () => this.crash(this.pickProcess()))
+    this.repeat(poisonIntervalMs, () => { for (let i = 0; i < poisonsPerInterval; i++) this.submit(POISON) })
+    this.repeat(crashIntervalMs, () => this.crash(this.pickProcess()))
     if (zoneLostAtMs !== undefined) this.time.at(zoneLostAtMs, () => this.crashZone(zoneStepMs))
-    this.time.playUntil(endMs)
+    this.time.runUntil(endMs)
     const knownAtMs = (this.poisonCrashes[MAX_CRASHES - 1] ?? Infinity) + KNOWN_WITHIN_MS
     return {
       asked: this.asked,
--- a/packages/bendfall-router/src/__tests__/unit/LimitWorld.ts
+++ b/packages/bendfall-router/src/__tests__/unit/LimitWorld.ts
@@ -5,29 +5,29 @@
 import { VirtualTime } from './VirtualTime.js'
 
 /** Strategies that keep the requests of all entries to a replica within a limit. */
-export const LIMIT_WAYS = ['leased_permits', 'each_send', 'equal_shares'] as const
-export type LimitWay = (typeof LIMIT_WAYS)[number]
+export const LIMIT_STRATEGIES = ['leased_permits', 'each_send', 'equal_shares'] as const
+export type LimitStrategy = (typeof LIMIT_STRATEGIES)[number]
 
 /** Fault of the permit leader that is injected repeatedly. */
-export type KeeperFault = 'killed' | 'frozen' | 'cut_off'
+export type LeaderFault = 'killed' | 'frozen' | 'cut_off'
 
 /** Scenario of entries that send to one replica which advertises a limit. */
-export interface LimitWorldPlay {
+export interface LimitScenario {
   readonly seed: number
-  readonly way: LimitWay
+  readonly strategy: LimitStrategy
   readonly entries: number
   readonly perS: number
   /** Requested rate as a multiple of the limit. */
   readonly demand: number
-  readonly spread: 'all_entries' | 'one_entry'
+  readonly distribution: 'all_entries' | 'one_entry'
   readonly seconds: number
-  readonly keeperFault?: KeeperFault
+  readonly leaderFault?: LeaderFault
   /** Requests per second before the replica advertises the limit; `perS` when absent. */
   readonly beforePerS?: number
 }
 
 /** Result of a scenario. */
-export interface LimitWorldOutcome {
+export interface LimitOutcome {
   /** Maximum number of requests in a window beyond those that the rule allows, over all arrivals. */
   readonly over: number
   /** Share of the limit that was used. */
@@ -66,9 +66,9 @@
 }
 
 /** Simulates a limit scenario. */
-export function playLimitWorld (scenario: LimitWorldPlay): LimitWorldOutcome {
+export function simulateLimits (scenario: LimitScenario): LimitOutcome {
   const time = new VirtualTime(scenario.seed)
-  const strategy = STRATEGIES[scenario.way](scenario, time)
+  const strategy = STRATEGIES[scenario.strategy](scenario, time)
   const arrivals: number[] = []
   const informed = new Set<number>()
   const endMs = scenario.seconds * 1_000
@@ -85,7 +85,7 @@
     })
   }
   const request = (): void => {
-    const entry = scenario.spread === 'one_entry' ? 0 : Math.floor(time.draw() * scenario.entries)
+    const entry = scenario.distribution === 'one_entry' ? 0 : Math.floor(time.draw() * scenario.entries)
     if (informed.has(entry)) strategy.send(entry, () => arrive(entry))
     else {
       strategy.onUnlimitedSend?.(entry)
@@ -95,13 +95,13 @@
     time.after(-Math.log(1 - time.draw()) * 1_000 / perS, request)
   }
   request()
-  time.playUntil(endMs)
+  time.runUntil(endMs)
   const enforced = arrivals.filter((atMs) => atMs >= ADVERTISED_AT_MS + ENFORCED_AFTER_MS)
   return { over: maxExcess(scenario, arrivals), usedShare: enforced.length / (scenario.perS * (endMs - ADVERTISED_AT_MS - ENFORCED_AFTER_MS) / 1_000), callsPerS: strategy.calls() / scenario.seconds }
 }
 
 // Windows are checked from the one that starts a second before the limit is advertised.
-function maxExcess ({ perS }: LimitWorldPlay, arrivals: readonly number[]): number {
+function maxExcess ({ perS }: LimitScenario, arrivals: readonly number[]): number {
   const allowed = 1.5 * perS * WINDOW_MS / 1_000 + 5
   let first = 0
   let excess = 0
@@ -121,20 +121,20 @@
 interface LeaderProcess {
   leader: PermitLeaderState
   /** Reachable by all entries, by none, or, if it is cut off from the store, only by the entries that are cut off too: every fourth one. */
-  state: 'well' | KeeperFault
+  state: 'well' | LeaderFault
   leaseUntilMs: number
 }
 
-function simulateLeaders ({ entries, keeperFault }: LimitWorldPlay, time: VirtualTime): LeaderClients {
+function simulateLeaders ({ entries, leaderFault }: LimitScenario, time: VirtualTime): LeaderClients {
   let calls = 0
   let current: LeaderProcess = { leader: createPermitLeaderState(0), state: 'well', leaseUntilMs: Infinity }
   let previous: LeaderProcess | undefined
   const isCutOff = (entry: number): boolean => entry % 4 === 0
   const fail = (): void => {
     const failing = current
-    failing.state = keeperFault as KeeperFault
+    failing.state = leaderFault as LeaderFault
     failing.leaseUntilMs = time.nowMs + LEASE_MS
-    if (keeperFault === 'frozen') time.after(FAULT_MS, () => { if (current === failing) Object.assign(failing, { state: 'well', leaseUntilMs: Infinity }) })
+    if (leaderFault === 'frozen') time.after(FAULT_MS, () => { if (current === failing) Object.assign(failing, { state: 'well', leaseUntilMs: Infinity }) })
     time.after(LEASE_MS + 300, () => {
       if (failing.state === 'well') return
       previous = failing
@@ -142,7 +142,7 @@
     })
     time.after(FAULT_INTERVAL_MS, fail)
   }
-  if (keeperFault !== undefined) time.after(FAULT_INTERVAL_MS / 2, fail)
+  if (leaderFault !== undefined) time.after(FAULT_INTERVAL_MS / 2, fail)
 
   function shareOf (process: LeaderProcess, entry: number): number {
     if (process.state === 'killed' || process.state === 'frozen') return 0
@@ -170,7 +170,7 @@
 }
 
 // Like the router: leases permits ahead of the requests, with one permit request at a time.
-function createLeasedPermits (scenario: LimitWorldPlay, time: VirtualTime): Strategy {
+function createLeasedPermits (scenario: LimitScenario, time: VirtualTime): Strategy {
   const leaders = simulateLeaders(scenario, time)
   const limitsOfEntries = Array.from({ length: scenario.entries }, (): ReplicaLimits => new Map())
   const recentSends = Array.from({ length: scenario.entries }, createRecentSends)
@@ -212,7 +212,7 @@
 }
 
 // Requests a permit from the leader before each send; entries keep no state.
-function createPermitPerSend (scenario: LimitWorldPlay, time: VirtualTime): Strategy {
+function createPermitPerSend (scenario: LimitScenario, time: VirtualTime): Strategy {
   const leaders = simulateLeaders(scenario, time)
   const request = { processName: 'r', perS: scenario.perS, heardAgoMs: 0, sentAgoMs: 0, wanted: 1, returned: 0, sentBefore: 0 }
   return {
@@ -225,7 +225,7 @@
 }
 
 // Gives each entry an equal share of the limit, without any messages.
-function createEqualShares ({ entries, perS }: LimitWorldPlay, time: VirtualTime): Strategy {
+function createEqualShares ({ entries, perS }: LimitScenario, time: VirtualTime): Strategy {
   const bounds: BucketLimit = { unitsPerS: perS / entries, burstUnits: 1 }
   const buckets = Array.from({ length: entries }, (): TokenBucket => ({ ...createBucket(bounds, 0), units: 1, unknownUnits: 0 }))
   return {
@@ -235,4 +235,4 @@
   }
 }
 
-const STRATEGIES: Readonly<Record<LimitWay, (scenario: LimitWorldPlay, time: VirtualTime) => Strategy>> = { leased_permits: createLeasedPermits, each_send: createPermitPerSend, equal_shares: createEqualShares }
+const STRATEGIES: Readonly<Record<LimitStrategy, (scenario: LimitScenario, time: VirtualTime) => Strategy>> = { leased_permits: createLeasedPermits, each_send: createPermitPerSend, equal_shares: createEqualShares }
--- a/packages/bendfall-router/src/__tests__/unit/LoadWorld.ts
+++ b/packages/bendfall-router/src/__tests__/unit/LoadWorld.ts
@@ -4,7 +4,7 @@
 import { VirtualTime } from './VirtualTime.js'
 
 /** Load of a simulation: streams with an average of 3,200 prompt tokens and 640 output tokens. */
-export interface Load {
+export interface LoadScenario {
   readonly prefills: number
   readonly decodes: number
   /** Arrivals of streams in each second of the load. */
@@ -27,7 +27,7 @@
   /** Streams that were served neither on the first attempt nor on the second. */
   readonly unserved: number
   /** Longest time from an attempt until its refusal. */
-  readonly longestRefusalMs: number
+  readonly maxRefusalMs: number
   /** Prefills that were sent, and those of them whose response or timeout the entry handled. */
   readonly prefillsSent: number
   readonly prefillsEnded: number
@@ -82,7 +82,7 @@
 const ANNOUNCED_LEAD_MS = 500
 
 /** Simulates a load on one entry and the ledgers of its replicas, in virtual time. */
-export function playLoad (load: Load): LoadResult {
+export function simulateLoad (load: LoadScenario): LoadResult {
   return new LoadSimulation(load).simulate()
 }
 
@@ -91,11 +91,11 @@
   private readonly engines = new Map<string, Engine>()
   private readonly callers = new Map<string, Caller>()
   private readonly time: VirtualTime
-  private longestRefusalMs = 0
+  private maxRefusalMs = 0
   private prefillsSent = 0
   private prefillsEnded = 0
 
-  constructor (private readonly load: Load) {
+  constructor (private readonly load: LoadScenario) {
     this.time = new VirtualTime(load.seed ?? 11)
     const decisions = { ...DEFAULT_DECISIONS, ...load.decisions }
     this.entry = createRouterState(7, 'entry-1', decisions)
@@ -115,10 +115,10 @@
     for (const { atMs, replicaId } of this.load.lost ?? []) this.time.at(atMs, () => { this.findEngine(replicaId).isLost = true })
     this.load.perSecond.forEach((count, second) => this.scheduleArrivals(count, second * 1_000))
     const endMs = this.load.perSecond.length * 1_000 + DRAIN_MS
-    this.time.playUntil(endMs)
+    this.time.runUntil(endMs)
     const outcomes = [...this.callers.values()].map(({ outcome }) => outcome ?? 'unserved')
     const countOf = (outcome: string): number => outcomes.filter((other) => other === outcome).length
-    return { asked: outcomes.length, onTime: countOf('on_time'), late: countOf('late'), unserved: countOf('unserved'), longestRefusalMs: this.longestRefusalMs, prefillsSent: this.prefillsSent, prefillsEnded: this.prefillsEnded }
+    return { asked: outcomes.length, onTime: countOf('on_time'), late: countOf('late'), unserved: countOf('unserved'), maxRefusalMs: this.maxRefusalMs, prefillsSent: this.prefillsSent, prefillsEnded: this.prefillsEnded }
   }
 
   private scheduleArrivals (count: number, fromMs: number): void {
@@ -270,7 +270,7 @@
 
   private refuse ({ key, retryAfterMs = 0 }: RouterEffectOf<'refuse'>): void {
     const caller = this.callerOf(key)
-    this.longestRefusalMs = Math.max(this.longestRefusalMs, this.time.nowMs - caller.tryAtMs)
+    this.maxRefusalMs = Math.max(this.maxRefusalMs, this.time.nowMs - caller.tryAtMs)
     if (caller.tries > 1) caller.outcome = 'unserved'
     else this.time.after(retryAfterMs + 2 * HOP_MS, () => this.submit(key.slice(0, key.indexOf('.')), caller))
   }
--- a/packages/bendfall-router/src/__tests__/unit/RefusalWorld.ts
+++ b/packages/bendfall-router/src/__tests__/unit/RefusalWorld.ts
@@ -4,7 +4,7 @@
 import { VirtualTime } from './VirtualTime.js'
 
 /** Scenario of entries that send to replicas which refuse a share of the work, in virtual time. */
-export interface RefusalPlay {
+export interface RefusalScenario {
   readonly entries: number
   readonly seconds: number
   readonly perSecond: (atMs: number) => number
@@ -17,21 +17,21 @@
 }
 
 /** Traffic of one service, counted at its replicas. */
-export interface Reached {
+export interface ServiceTraffic {
   /** Arrival times of the requests of callers. */
   readonly requests: readonly number[]
   /** Times of the sends after the first of each request, without the one prefill per request that the budget does not charge. */
-  readonly extras: readonly number[]
+  readonly extraSends: readonly number[]
 }
 
 /** Result of a scenario. */
 export interface RefusalResult {
-  readonly prompts: Reached
-  readonly calls: Reached
+  readonly prompts: ServiceTraffic
+  readonly calls: ServiceTraffic
   readonly asked: number
   readonly repeats: number
   readonly served: number
-  readonly promptsRead: number
+  readonly promptsProcessed: number
   readonly promptsUsed: number
 }
 
@@ -44,7 +44,7 @@
 const DRAIN_MS = 4_000
 
 /** Simulates a refusal scenario. Counts what reaches the replicas, independently of the entries' own accounts. */
-export function playRefusals (scenario: RefusalPlay): RefusalResult {
+export function simulateRefusals (scenario: RefusalScenario): RefusalResult {
   return new RefusalSimulation(scenario).simulate()
 }
 
@@ -54,10 +54,10 @@
   private readonly arrivals = new Map<string, Arrival[]>()
   private readonly requests = { prompts: [] as number[], calls: [] as number[] }
   private served = 0
-  private promptsRead = 0
+  private promptsProcessed = 0
   private promptsUsed = 0
 
-  constructor (private readonly scenario: RefusalPlay) {
+  constructor (private readonly scenario: RefusalScenario) {
     this.time = new VirtualTime(scenario.seed)
     const replicas = [...['p1', 'p2'].map((id) => replicaOf(id, 'prefill')), ...['d1', 'd2', 'd3', 'd4'].map((id) => replicaOf(id, 'decode')), ...['a1', 'a2', 'a3'].map((id) => replicaOf(id, 'plain'))]
     this.entries = Array.from({ length: scenario.entries }, (_, i) => createRouterState(scenario.seed + i, `entry-${i}`, DEFAULT_DECISIONS, scenario.limits))
@@ -72,10 +72,10 @@
     for (let second = 0; second < this.scenario.seconds; second++) {
       for (let i = 0; i < this.scenario.perSecond(second * 1_000); i++) this.time.at((second + this.time.draw()) * 1_000, () => this.arrive())
     }
-    this.time.playUntil(this.scenario.seconds * 1_000 + DRAIN_MS)
-    const prompts = { requests: this.requests.prompts, extras: this.extraSendTimes('prompts') }
-    const calls = { requests: this.requests.calls, extras: this.extraSendTimes('calls') }
-    return { prompts, calls, asked: prompts.requests.length + calls.requests.length, repeats: prompts.extras.length + calls.extras.length, served: this.served, promptsRead: this.promptsRead, promptsUsed: this.promptsUsed }
+    this.time.runUntil(this.scenario.seconds * 1_000 + DRAIN_MS)
+    const prompts = { requests: this.requests.prompts, extraSends: this.extraSendTimes('prompts') }
+    const calls = { requests: this.requests.calls, extraSends: this.extraSendTimes('calls') }
+    return { prompts, calls, asked: prompts.requests.length + calls.requests.length, repeats: prompts.extraSends.length + calls.extraSends.length, served: this.served, promptsProcessed: this.promptsProcessed, promptsUsed: this.promptsUsed }
   }
 
   private extraSendTimes (kind: 'prompts' | 'calls'): number[] {
@@ -116,7 +116,7 @@
     const isRefused = this.isRefused(this.scenario.refusedShare)
     this.recordArrival(key, !isRefused)
     if (isRefused) return this.time.after(HOP_MS, () => this.reduce(entry, { type: 'prefill_answered', atMs: this.time.nowMs, key, attempt, outcome: { type: 'failed', failure: 'not_run' } }))
-    this.promptsRead += 1
+    this.promptsProcessed += 1
     this.time.after(PREFILL_MS, () => this.reduce(entry, { type: 'prefill_answered', atMs: this.time.nowMs, key, attempt, outcome: { type: 'read', handle: key } }))
   }
 
--- a/packages/bendfall-router/src/__tests__/unit/RouterWorld.ts
+++ b/packages/bendfall-router/src/__tests__/unit/RouterWorld.ts
@@ -4,7 +4,7 @@
 type WithoutTime<E> = E extends unknown ? Omit<E, 'atMs'> : never
 
 /** A simulated entry: reduces events in virtual time and returns their effects. */
-export interface RouterWorld {
+export interface RouterSimulation {
   readonly state: RouterState
   readonly nowMs: () => number
   /** Advances the time, with the regular ticks. */
@@ -68,7 +68,7 @@
 }
 
 /** Creates a simulated entry that has learned a configuration and replicas. */
-export function createWorld (routes: readonly Route[], replicas: readonly Replica[]): RouterWorld {
+export function createSimulation (routes: readonly Route[], replicas: readonly Replica[]): RouterSimulation {
   const state = createRouterState(7, 'entry-1')
   let nowMs = 1_000
   const reduce = (event: WithoutTime<RouterEvent>): RouterEffect[] =>
@@ -92,8 +92,8 @@
 const MODELS = [replicaOf('p1', 'prefill'), replicaOf('d1', 'decode'), replicaOf('d2', 'decode')]
 
 /** Creates a simulated entry with one prefill and two decode replicas, of which the first has more free memory. */
-export function modelWorld (change: Parameters<typeof summaryRoute>[0] = {}): RouterWorld {
-  const simulation = createWorld([summaryRoute(change)], MODELS)
+export function createModelSimulation (change: Parameters<typeof summaryRoute>[0] = {}): RouterSimulation {
+  const simulation = createSimulation([summaryRoute(change)], MODELS)
   simulation.send({ type: 'load_learned', load: loadOf('d1', 'decode', 30_000) })
   simulation.send({ type: 'load_learned', load: loadOf('d2', 'decode', 10_000) })
   return simulation
--- a/packages/bendfall-router/src/__tests__/unit/VirtualTime.ts
+++ b/packages/bendfall-router/src/__tests__/unit/VirtualTime.ts
@@ -37,7 +37,7 @@
   }
 
   /** Runs the callbacks up to a time, including those that they schedule. */
-  playUntil (endMs: number): void {
+  runUntil (endMs: number): void {
     for (let next = this.pop(); next !== undefined && next.atMs <= endMs; next = this.pop()) {
       this.nowMs = next.atMs
       next.run()
--- a/scripts/ablate.mjs
+++ b/scripts/ablate.mjs
@@ -3,7 +3,7 @@
 // requested streams that were on time or unserved, and in the longest hold before a refusal.
 import { pairedDifference } from 'bendfall-compare'
 import { DECISION_CHOICES } from 'bendfall-router'
-import { playLoad } from '../packages/bendfall-router/dist/__tests__/unit/LoadWorld.js'
+import { simulateLoad } from '../packages/bendfall-router/dist/__tests__/unit/LoadWorld.js'
 
 const SEEDS = [11, 12, 13, 14, 15, 16]
 
@@ -21,7 +21,7 @@
 }
 
 function playAll (decisions) {
-  return Object.values(LOADS).flatMap((load) => SEEDS.map((seed) => playLoad({ ...load, seed, decisions })))
+  return Object.values(LOADS).flatMap((load) => SEEDS.map((seed) => simulateLoad({ ...load, seed, decisions })))
 }
 
 function percentOf (result, count) {
@@ -40,7 +40,7 @@
     const alternative = playAll({ [name]: choice })
     const onTime = pairedDifference(base.map((result, i) => percentOf(result, 'onTime') - percentOf(alternative[i], 'onTime')))
     const unserved = pairedDifference(base.map((result, i) => percentOf(result, 'unserved') - percentOf(alternative[i], 'unserved')))
-    const holdMs = pairedDifference(base.map((result, i) => result.longestRefusalMs - alternative[i].longestRefusalMs))
+    const holdMs = pairedDifference(base.map((result, i) => result.maxRefusalMs - alternative[i].maxRefusalMs))
     console.log(`| \`${name}\`, \`${choice}\` | ${describe(onTime)} | ${describe(unserved)} | ${holdMs.mean.toFixed(0)} |`)
   }
 }
