--- a/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeDirectoryDrill.test.ts
+++ b/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeDirectoryRestore.test.ts
@@ -5,7 +5,7 @@
 import { drawUnit } from 'bendfall-core'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { DRAIN_MS, SimulatedEntry, SimulatedReplica, SimulatedStore, TICK_MS } from './DirectoryWorld.js'
+import { DRAIN_MS, SimulatedEntry, SimulatedReplica, SimulatedStore, TICK_MS } from './DirectorySimulation.js'
 import { createVirtualClock } from './VirtualClock.js'
 
 const STEP_MS = 50
--- a/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeAnswerIdentity.test.ts
+++ b/packages/bendfall-edge/src/__tests__/unit/BendfallEdgeResponseIdentity.test.ts
@@ -6,8 +6,8 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { withReplicaHarness } from './ReplicaScene.js'
-import type { ReplicaHarness } from './ReplicaScene.js'
+import { withReplicaHarness } from './ReplicaHarness.js'
+import type { ReplicaHarness } from './ReplicaHarness.js'
 import { formatResponse } from './ScriptedReplica.js'
 import type { ScriptedRequest, ScriptedResponse } from './ScriptedReplica.js'
 
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterAllotment.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterAllotment.test.ts
@@ -2,8 +2,8 @@
 import * as assert from 'uvu/assert'
 import { createAllotmentLeaderState, giveBackToAllotment, retainCustomers, takeFromAllotment } from '../../index.js'
 import type { Allotment, AllotmentBounds, Customer, RouterEffect, UnitsOutcome } from '../../index.js'
-import { arrival, configOf, createSimulation, loadOf, only, plainRoute, replicaOf, summaryRoute, typesOf } from './RouterWorld.js'
-import type { RouterSimulation } from './RouterWorld.js'
+import { arrival, configOf, createSimulation, loadOf, only, plainRoute, replicaOf, summaryRoute, typesOf } from './RouterSimulation.js'
+import type { RouterSimulation } from './RouterSimulation.js'
 
 const ALLOTMENT: Allotment = { unit: 'tokens', unitsPerS: 36_000, burstUnits: 36_000, undeclaredUnits: 200 }
 const ACME: Customer = { name: 'acme', keyDigests: ['k-acme'], allotment: ALLOTMENT }
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterAllotmentWays.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterAllotmentStrategies.test.ts
@@ -1,8 +1,8 @@
 // Compares a single elected leader with the other strategies that limit a customer's total usage over all entries.
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { simulateAllotment } from './AllotmentWorld.js'
-import type { Distribution } from './AllotmentWorld.js'
+import { simulateAllotment } from './AllotmentSimulation.js'
+import type { Distribution } from './AllotmentSimulation.js'
 
 const SECONDS = 60
 const ENTRY_COUNTS = [1, 5, 31, 68, 840]
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterCrashes.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterCrashes.test.ts
@@ -1,8 +1,8 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { simulateCrashes } from './CrashWorld.js'
-import { arrival, createSimulation, createModelSimulation, only, plainRoute, replicaOf, typesOf } from './RouterWorld.js'
-import type { RouterSimulation } from './RouterWorld.js'
+import { simulateCrashes } from './CrashSimulation.js'
+import { arrival, createSimulation, createModelSimulation, only, plainRoute, replicaOf, typesOf } from './RouterSimulation.js'
+import type { RouterSimulation } from './RouterSimulation.js'
 
 /** Sends of the crashing request that are tolerated after all entries have learned of the third crash. */
 const MAX_LATE_SENDS = 3
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterCustomers.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterCustomers.test.ts
@@ -2,8 +2,8 @@
 import * as assert from 'uvu/assert'
 import { reduceRouter } from '../../index.js'
 import type { Customer, Route, RouterEffect, RouterEvent } from '../../index.js'
-import { arrival, configOf, createSimulation, loadOf, only, plainRoute, replicaOf, summaryRoute } from './RouterWorld.js'
-import type { RouterSimulation } from './RouterWorld.js'
+import { arrival, configOf, createSimulation, loadOf, only, plainRoute, replicaOf, summaryRoute } from './RouterSimulation.js'
+import type { RouterSimulation } from './RouterSimulation.js'
 
 /** By the default limits, known keys are accepted up to 4 s after the last verification, and unknown ones rejected as such up to 1.8 s. */
 const MAX_KEY_AGE_MS = 4_000
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterCustomersSpeed.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterCustomersSpeed.test.ts
@@ -6,7 +6,7 @@
 import * as assert from 'uvu/assert'
 import { authenticate, createAllotmentLeaderState, DEFAULT_CREDENTIAL_LIMITS, indexCustomers, takeFromAllotment } from '../../index.js'
 import type { Customer } from '../../index.js'
-import { configOf } from './RouterWorld.js'
+import { configOf } from './RouterSimulation.js'
 
 const CUSTOMERS = 1_000
 const KEYS_EACH = 10
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterDeparted.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterDeparted.test.ts
@@ -4,8 +4,8 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import type { Replica } from '../../index.js'
-import { createSimulation, plainRoute, replicaOf } from './RouterWorld.js'
-import type { RouterSimulation } from './RouterWorld.js'
+import { createSimulation, plainRoute, replicaOf } from './RouterSimulation.js'
+import type { RouterSimulation } from './RouterSimulation.js'
 
 const STARTED_AT_MS = 1_764_000_000_000
 const NEXT_ERA_REVISION = 1_000
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterEntry.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterEntry.test.ts
@@ -1,8 +1,8 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import type { RouterEffect } from '../../index.js'
-import { arrival, configOf, createSimulation, loadOf, createModelSimulation, only, plainRoute, replicaOf, summaryRoute, typesOf } from './RouterWorld.js'
-import type { RouterSimulation } from './RouterWorld.js'
+import { arrival, configOf, createSimulation, loadOf, createModelSimulation, only, plainRoute, replicaOf, summaryRoute, typesOf } from './RouterSimulation.js'
+import type { RouterSimulation } from './RouterSimulation.js'
 
 /** Sends a request and answers each step up to its run on a decode replica. */
 function runRequest (simulation: RouterSimulation, key = '1'): RouterEffect[] {
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterHold.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterHold.test.ts
@@ -1,8 +1,8 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import type { HoldOutcome, RouterEffect, RouterEffectOf } from '../../index.js'
-import { arrival, createModelSimulation, only, typesOf } from './RouterWorld.js'
-import type { RouterSimulation } from './RouterWorld.js'
+import { arrival, createModelSimulation, only, typesOf } from './RouterSimulation.js'
+import type { RouterSimulation } from './RouterSimulation.js'
 
 /** Sends a request whose ledger is unreachable, and returns the hold that it requests. */
 function requestHold (simulation: RouterSimulation, key = '1'): RouterEffectOf<'take_hold'> {
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterLimitWorld.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterLimitSimulation.test.ts
@@ -1,7 +1,7 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { simulateLimits } from './LimitWorld.js'
-import type { LeaderFault, LimitScenario } from './LimitWorld.js'
+import { simulateLimits } from './LimitSimulation.js'
+import type { LeaderFault, LimitScenario } from './LimitSimulation.js'
 
 const SCENARIO: LimitScenario = { seed: 3, strategy: 'leased_permits', entries: 1, perS: 5.1, demand: 6, distribution: 'all_entries', seconds: 30 }
 const ENTRY_COUNTS = [1, 5, 84, 840]
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterLoad.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterLoad.test.ts
@@ -1,7 +1,7 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { simulateLoad } from './LoadWorld.js'
-import type { LoadScenario } from './LoadWorld.js'
+import { simulateLoad } from './LoadSimulation.js'
+import type { LoadScenario } from './LoadSimulation.js'
 
 /** Eight streams a second, with a burst of twice that rate for four seconds. */
 const BURST: LoadScenario = { prefills: 1, decodes: 5, perSecond: [8, 8, 8, 8, 8, 16, 16, 16, 16, 8, 8, 8, 8, 8, 8] }
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterLoads.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterLoads.test.ts
@@ -1,8 +1,8 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import type { RouterEffectOf } from '../../index.js'
-import { arrival, createSimulation, loadOf, only, replicaOf, summaryRoute, typesOf } from './RouterWorld.js'
-import type { RouterSimulation } from './RouterWorld.js'
+import { arrival, createSimulation, loadOf, only, replicaOf, summaryRoute, typesOf } from './RouterSimulation.js'
+import type { RouterSimulation } from './RouterSimulation.js'
 
 function createPoolSimulation (prefills: number, decodes: number): RouterSimulation {
   const replicas = [
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterNotice.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterNotice.test.ts
@@ -2,8 +2,8 @@
 import * as assert from 'uvu/assert'
 import { reduceRouter } from '../../index.js'
 import type { ReplicaNotice, RouterEffect } from '../../index.js'
-import { arrival, createSimulation, loadOf, createModelSimulation, only, plainRoute, replicaOf, summaryRoute, typesOf } from './RouterWorld.js'
-import type { RouterSimulation } from './RouterWorld.js'
+import { arrival, createSimulation, loadOf, createModelSimulation, only, plainRoute, replicaOf, summaryRoute, typesOf } from './RouterSimulation.js'
+import type { RouterSimulation } from './RouterSimulation.js'
 
 const BACKS_OFF: ReplicaNotice = { isLeaving: false, backoffMs: 3_000 }
 const LEAVES: ReplicaNotice = { isLeaving: true }
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterOutputModel.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterOutputModel.test.ts
@@ -1,7 +1,7 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { createOutputModel, delayUntilFit, predictOutput, findRoute, fits, learnOutput, pickService, roomByHorizon } from '../../index.js'
-import { configOf, plainRoute, summaryRoute } from './RouterWorld.js'
+import { configOf, plainRoute, summaryRoute } from './RouterSimulation.js'
 
 test('the prediction shrinks extreme estimates toward the mean', () => {
   const model = createOutputModel()
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterStandstill.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterPause.test.ts
@@ -1,8 +1,8 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { createBudget } from '../../index.js'
-import { arrival, createSimulation, createModelSimulation, only, plainRoute, replicaOf, summaryRoute, typesOf } from './RouterWorld.js'
-import type { RouterSimulation } from './RouterWorld.js'
+import { arrival, createSimulation, createModelSimulation, only, plainRoute, replicaOf, summaryRoute, typesOf } from './RouterSimulation.js'
+import type { RouterSimulation } from './RouterSimulation.js'
 
 const PAUSES_MS = [1_100, 3_000, 10_000]
 
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterPoolFleet.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterPoolFleet.test.ts
@@ -2,8 +2,8 @@
 import * as assert from 'uvu/assert'
 import { balancePools } from '../../index.js'
 import type { PoolIntent, PoolMember, PoolWork, Replica, RouterEffect } from '../../index.js'
-import { createSimulation, loadOf, replicaOf, summaryRoute } from './RouterWorld.js'
-import type { RouterSimulation } from './RouterWorld.js'
+import { createSimulation, loadOf, replicaOf, summaryRoute } from './RouterSimulation.js'
+import type { RouterSimulation } from './RouterSimulation.js'
 
 const INTENT: PoolIntent = { usualPrefillShare: 0.25, leastPrefillShare: 0.1, leastPrefillReplicas: 1, mostPrefillShare: 0.5 }
 
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterPools.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterPools.test.ts
@@ -3,8 +3,8 @@
 import * as assert from 'uvu/assert'
 import { balancePools, confirmedIntent, digestPoolIntent } from '../../index.js'
 import type { PoolMember, Replica, RouterEffect } from '../../index.js'
-import { configOf, createSimulation, loadOf, replicaOf, summaryRoute, typesOf } from './RouterWorld.js'
-import type { RouterSimulation } from './RouterWorld.js'
+import { configOf, createSimulation, loadOf, replicaOf, summaryRoute, typesOf } from './RouterSimulation.js'
+import type { RouterSimulation } from './RouterSimulation.js'
 
 const INTENT = { usualPrefillShare: 0.25, leastPrefillShare: 0.1, leastPrefillReplicas: 1, mostPrefillShare: 0.5 }
 
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterReading.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterPrefillPlacement.test.ts
@@ -1,7 +1,7 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { arrival, createSimulation, loadOf, createModelSimulation, only, replicaOf, summaryRoute } from './RouterWorld.js'
-import type { RouterSimulation } from './RouterWorld.js'
+import { arrival, createSimulation, loadOf, createModelSimulation, only, replicaOf, summaryRoute } from './RouterSimulation.js'
+import type { RouterSimulation } from './RouterSimulation.js'
 
 function createBusyPrefillSimulation (change: Parameters<typeof createModelSimulation>[0] = {}): RouterSimulation {
   const simulation = createModelSimulation(change)
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterPrefillQueue.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterPrefillQueue.test.ts
@@ -1,6 +1,6 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { arrival, loadOf, createModelSimulation, only } from './RouterWorld.js'
+import { arrival, loadOf, createModelSimulation, only } from './RouterSimulation.js'
 
 test('a request waits for a slot at a busy prefill replica before it books decode memory', () => {
   const simulation = createModelSimulation()
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterRateLimit.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterRateLimit.test.ts
@@ -1,8 +1,8 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import type { LimitNotice, PermitOutcome, RouterEffect } from '../../index.js'
-import { arrival, createSimulation, loadOf, createModelSimulation, only, plainRoute, replicaOf, summaryRoute, typesOf } from './RouterWorld.js'
-import type { RouterSimulation } from './RouterWorld.js'
+import { arrival, createSimulation, loadOf, createModelSimulation, only, plainRoute, replicaOf, summaryRoute, typesOf } from './RouterSimulation.js'
+import type { RouterSimulation } from './RouterSimulation.js'
 
 const PLAIN_REPLICAS = ['a1', 'a2'].map((id) => replicaOf(id, 'plain', { startedAtMs: 1 }))
 const PATH = '/rates/1'
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterRefusals.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterRefusals.test.ts
@@ -6,8 +6,8 @@
 // gone was charged once for both the prefill and the run; and each entry had a reserve of its own.
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { simulateRefusals } from './RefusalWorld.js'
-import type { ServiceTraffic, RefusalScenario } from './RefusalWorld.js'
+import { simulateRefusals } from './RefusalSimulation.js'
+import type { ServiceTraffic, RefusalScenario } from './RefusalSimulation.js'
 
 const WINDOW_MS = 10_000
 const LIMITS = { ratio: 0.2, reserve: 0, windowMs: WINDOW_MS }
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterRegistrations.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterRegistrations.test.ts
@@ -1,7 +1,7 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { arrival, createSimulation, loadOf, only, plainRoute, replicaOf, summaryRoute, typesOf } from './RouterWorld.js'
-import type { RouterSimulation } from './RouterWorld.js'
+import { arrival, createSimulation, loadOf, only, plainRoute, replicaOf, summaryRoute, typesOf } from './RouterSimulation.js'
+import type { RouterSimulation } from './RouterSimulation.js'
 
 const PREVIOUS = replicaOf('a5', 'plain', { address: 'a:80', registeredAtRevision: 3 })
 const SUCCESSORS = [replicaOf('a9', 'plain', { address: 'a:80', registeredAtRevision: 8 }), replicaOf('a1', 'plain', { address: 'a:80', registeredAtRevision: 8 })]
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterRestarts.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterRestarts.test.ts
@@ -2,8 +2,8 @@
 import * as assert from 'uvu/assert'
 import { createLedgerState, reduceLedger } from '../../index.js'
 import type { LedgerState, Replica, ReplicaStage, RouterEffect } from '../../index.js'
-import { arrival, createSimulation, loadOf, only, plainRoute, replicaOf, summaryRoute, typesOf } from './RouterWorld.js'
-import type { RouterSimulation } from './RouterWorld.js'
+import { arrival, createSimulation, loadOf, only, plainRoute, replicaOf, summaryRoute, typesOf } from './RouterSimulation.js'
+import type { RouterSimulation } from './RouterSimulation.js'
 
 const FIRST_MS = 1_000
 const SECOND_MS = 9_000
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterRoutes.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterRoutes.test.ts
@@ -1,7 +1,7 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { findRoute } from '../../index.js'
-import { configOf, plainRoute } from './RouterWorld.js'
+import { configOf, plainRoute } from './RouterSimulation.js'
 
 const CONFIG = configOf(1, [
   plainRoute({ name: 'all', pathPrefix: '/' }),
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterSize.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterSize.test.ts
@@ -2,7 +2,7 @@
 import * as assert from 'uvu/assert'
 import { createRouterState, reduceRouter } from '../../index.js'
 import type { Replica, RouterState } from '../../index.js'
-import { arrival, configOf, replicaOf, summaryRoute } from './RouterWorld.js'
+import { arrival, configOf, replicaOf, summaryRoute } from './RouterSimulation.js'
 
 const PREFILL_EVERY = 4
 
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterStalls.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterStalls.test.ts
@@ -1,8 +1,8 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import type { RouterEffect } from '../../index.js'
-import { arrival, createSimulation, only, plainRoute, replicaOf, typesOf } from './RouterWorld.js'
-import type { RouterSimulation } from './RouterWorld.js'
+import { arrival, createSimulation, only, plainRoute, replicaOf, typesOf } from './RouterSimulation.js'
+import type { RouterSimulation } from './RouterSimulation.js'
 
 const ANSWER_MS = 60
 const DEADLINE_MS = 4_000
--- a/packages/bendfall-router/src/__tests__/unit/BendfallRouterSubset.test.ts
+++ b/packages/bendfall-router/src/__tests__/unit/BendfallRouterSubset.test.ts
@@ -1,8 +1,8 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { SUBSET_SIZE } from '../../index.js'
-import { arrival, createSimulation, loadOf, only, replicaOf, summaryRoute } from './RouterWorld.js'
-import type { RouterSimulation } from './RouterWorld.js'
+import { arrival, createSimulation, loadOf, only, replicaOf, summaryRoute } from './RouterSimulation.js'
+import type { RouterSimulation } from './RouterSimulation.js'
 
 const PREFILLS = Array.from({ length: 3 }, (_, i) => replicaOf(`p${i}`, 'prefill'))
 
--- a/packages/bendfall-router/src/__tests__/unit/CrashWorld.ts
+++ b/packages/bendfall-router/src/__tests__/unit/CrashSimulation.ts
@@ -1,6 +1,6 @@
 import { createRouterState, reduceRouter, TICK_MS } from '../../index.js'
 import type { CrashReport, Replica, RouterEffect, RouterEffectOf, RouterEvent, RouterState } from '../../index.js'
-import { configOf, plainRoute, replicaOf } from './RouterWorld.js'
+import { configOf, plainRoute, replicaOf } from './RouterSimulation.js'
 import { VirtualTime } from './VirtualTime.js'
 
 /** Scenario of entries that send requests to crashing replicas, in virtual time. */
--- a/packages/bendfall-router/src/__tests__/unit/LoadWorld.ts
+++ b/packages/bendfall-router/src/__tests__/unit/LoadSimulation.ts
@@ -1,6 +1,6 @@
 import { createLedgerState, createRouterState, DEFAULT_DECISIONS, loadOf, reduceLedger, reduceRouter } from '../../index.js'
 import type { LedgerEffect, LedgerEvent, LedgerState, ReplicaStage, RouterDecisions, RouterEffect, RouterEffectOf, RouterEvent, RouterState } from '../../index.js'
-import { configOf, replicaOf, summaryRoute } from './RouterWorld.js'
+import { configOf, replicaOf, summaryRoute } from './RouterSimulation.js'
 import { VirtualTime } from './VirtualTime.js'
 
 /** Load of a simulation: streams with an average of 3,200 prompt tokens and 640 output tokens. */
--- a/packages/bendfall-router/src/__tests__/unit/RefusalWorld.ts
+++ b/packages/bendfall-router/src/__tests__/unit/RefusalSimulation.ts
@@ -1,6 +1,6 @@
 import { createRouterState, DEFAULT_DECISIONS, reduceRouter, TICK_MS } from '../../index.js'
 import type { BudgetLimits, RouterEffect, RouterEffectOf, RouterEvent, RouterState } from '../../index.js'
-import { configOf, loadOf, plainRoute, replicaOf, summaryRoute } from './RouterWorld.js'
+import { configOf, loadOf, plainRoute, replicaOf, summaryRoute } from './RouterSimulation.js'
 import { VirtualTime } from './VirtualTime.js'
 
 /** Scenario of entries that send to replicas which refuse a share of the work, in virtual time. */
--- a/scripts/ablate.mjs
+++ b/scripts/ablate.mjs
@@ -3,7 +3,7 @@
 // requested streams that were on time or unserved, and in the longest hold before a refusal.
 import { pairedDifference } from 'bendfall-compare'
 import { DECISION_CHOICES } from 'bendfall-router'
-import { simulateLoad } from '../packages/bendfall-router/dist/__tests__/unit/LoadWorld.js'
+import { simulateLoad } from '../packages/bendfall-router/dist/__tests__/unit/LoadSimulation.js'
 
 const SEEDS = [11, 12, 13, 14, 15, 16]
 
