--- a/packages/bendfall-fakes/src/BendfallFakesCapacity.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesCapacity.ts
@@ -1,6 +1,7 @@
 /**
- * Measures slopes on this machine and works out what the design costs at the
- * size to design for. Start with `--expose-gc`.
+ * Entry point of `npm run capacity`: measures the cost of each mechanism on
+ * this machine and extrapolates it to the target size of a deployment. Needs
+ * `node --expose-gc`.
  *
  * @module
  */
--- a/packages/bendfall-fakes/src/BendfallFakesCluster.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesCluster.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet under faults: what the process tests and the soak start, harm and
- * look into.
+ * Starts a fleet of processes for the process tests and the soak, and gives
+ * access to its processes: signals, restarts, fault injection and inspection.
  *
  * @module
  */
@@ -21,57 +21,57 @@
 const CONNECT_TIMEOUT_MS = 1_000
 const STATUS_TIMEOUT_MS = 2_000
 
-/** A running fleet with its operator's first intent in force. */
+/** A running fleet with its initial intent in force. */
 export interface Cluster {
   readonly fleet: Fleet
-  /** Aborted once the cluster is to stop. */
+  /** Aborted when the cluster begins to stop. */
   readonly ended: AbortSignal
-  /** Version that the first intent brought into force. */
+  /** Configuration version that the initial intent created. */
   readonly version: number
-  /** Instances of entries and sidecars, as they were started. */
+  /** Instance ids of all sidecars and entries, in start order. */
   readonly instanceIds: readonly string[]
-  /** The process that runs for an instance now, or ran last. */
+  /** Returns the current process of an instance, or its last one. */
   readonly node: (instanceId: string) => RunningNode
-  /** Address for callers of an entry. */
+  /** Returns the address on which an entry accepts callers, as `ip:port`. */
   readonly callers: (instanceId: string) => string
   readonly signal: (instanceId: string, signal: ProcessSignal) => void
-  /** Ends a bendfall process at once; resolves when it is gone. */
+  /** Kills a bendfall process with SIGKILL; resolves when it has exited. */
   readonly kill: (instanceId: string) => Promise<void>
-  /** Asks for a graceful stop; resolves to the exit code. */
+  /** Requests a graceful shutdown with SIGTERM; resolves to the exit code. */
   readonly terminate: (instanceId: string) => Promise<number | null>
-  /** Starts a process again, at its former addresses. */
+  /** Starts a new process with the addresses of the previous one. */
   readonly restart: (instanceId: string) => Promise<void>
-  /** Ends the stand-in of an upstream at once. */
+  /** Kills the stand-in of an upstream with SIGKILL. */
   readonly killUpstream: (instanceId: string) => Promise<void>
-  /** Shows a fault at the stand-in of an upstream, at `key-value` or at `instances`. */
+  /** Injects a fault into a stand-in, given by upstream instance or as `key-value` or `instances`. */
   readonly fail: (name: string, fault: Fault) => Promise<void>
-  /** Ends the faults of a stand-in. */
+  /** Clears all faults of a stand-in. */
   readonly heal: (name: string) => Promise<void>
   readonly engine: (instanceId: string) => Promise<EngineState>
   readonly service: (instanceId: string) => Promise<ServiceRuns>
-  /** Calls that the key-value stand-in counted. */
+  /** Reads how many calls of each kind the key-value stand-in received. */
   readonly keyValueCalls: () => Promise<KeyValueCalls>
-  /** Changes what the instance list shows of one instance, after a lag; absent removes it. */
+  /** Sets the state of one instance in the instance list after a lag; `absent` removes the instance. */
   readonly list: (instanceId: string, state: InstanceRecord['state'] | 'absent', lagMs?: number) => Promise<void>
   readonly status: (instanceId: string) => Promise<StatusResponse>
-  /** Version in force at a process; 0 while it knows none. */
+  /** Reads the configuration version in force at a process; 0 while it has none. */
   readonly configVersion: (instanceId: string) => Promise<number>
-  /** Time line of all processes that answer. */
+  /** Merges the timelines of all running processes; those that fail to respond are left out. */
   readonly timeline: (subject?: string) => Promise<TimelineEvent[]>
   /**
-   * Ends all processes, by their ids.
+   * Kills all processes by process id.
    *
-   * @throws Error when one had ended by itself
+   * @throws Error when a process had already exited unexpectedly
    */
   readonly stop: () => Promise<void>
 }
 
 /**
- * Starts a cluster and brings an intent into force.
+ * Starts a cluster, confirms an intent and waits until it is in force.
  *
- * @param plan - what to run
- * @param intent - the first intent
- * @returns the cluster
+ * @param plan - processes to run and their settings
+ * @param intent - the initial intent
+ * @returns the running cluster
  */
 export async function startCluster (plan: FleetPlan, intent: Intent): Promise<Cluster> {
   const fleet = await startFleet(plan)
@@ -88,14 +88,14 @@
 function createCluster (fleet: Fleet, version: number): Cluster {
   const nodes = new Map([...fleet.sidecars, ...fleet.entries].map((node) => [node.record.instanceId, node]))
   const records = new Map([...nodes].map(([instanceId, { record }]) => [instanceId, record]))
-  const expectedToEnd = new Set<ListeningProcess>()
+  const expectedExits = new Set<ListeningProcess>()
   const connections = createConnections(CONNECT_TIMEOUT_MS)
   const ended = new AbortController()
   const node = (instanceId: string): RunningNode => find(nodes, instanceId)
   const standIn = (name: string): ListeningProcess => find(new Map([...fleet.upstreams, ['key-value', fleet.keyValue], ['instances', fleet.instanceList]]), name)
 
   async function end (process: ListeningProcess, signal: ProcessSignal): Promise<number | null> {
-    expectedToEnd.add(process)
+    expectedExits.add(process)
     process.signal(signal)
     return await process.exited
   }
@@ -115,11 +115,11 @@
     terminate: (instanceId) => end(node(instanceId).process, 'SIGTERM'),
     restart: async (instanceId) => { nodes.set(instanceId, await node(instanceId).restart()) },
     killUpstream: async (instanceId) => { await end(standIn(instanceId), 'SIGKILL') },
-    fail: async (name, fault) => { await control(standIn(name), 'fail', fault) },
-    heal: async (name) => { await control(standIn(name), 'reset', {}) },
-    engine: async (instanceId) => await control(standIn(instanceId), 'state') as EngineState,
-    service: async (instanceId) => await control(standIn(instanceId), 'runs') as ServiceRuns,
-    keyValueCalls: async () => await control(fleet.keyValue, 'calls') as KeyValueCalls,
+    fail: async (name, fault) => { await callControl(standIn(name), 'fail', fault) },
+    heal: async (name) => { await callControl(standIn(name), 'reset', {}) },
+    engine: async (instanceId) => await callControl(standIn(instanceId), 'state') as EngineState,
+    service: async (instanceId) => await callControl(standIn(instanceId), 'runs') as ServiceRuns,
+    keyValueCalls: async () => await callControl(fleet.keyValue, 'calls') as KeyValueCalls,
     list: async (instanceId, state, lagMs) => {
       if (state === 'absent') records.delete(instanceId)
       else records.set(instanceId, { ...node(instanceId).record, state })
@@ -132,28 +132,28 @@
       ended.abort()
       connections.close()
       const all = [...fleet.upstreams.values(), fleet.keyValue, fleet.instanceList, ...[...nodes.values()].map(({ process }) => process)]
-      const fallen = all.filter((process) => !process.isRunning() && !expectedToEnd.has(process))
+      const unexpectedExits = all.filter((process) => !process.isRunning() && !expectedExits.has(process))
       await fleet.kill()
-      if (fallen.length > 0) throw new Error(fallen.map(({ name, lines }) => `${name} ended by itself:\n${lines.join('\n')}`).join('\n'))
+      if (unexpectedExits.length > 0) throw new Error(unexpectedExits.map(({ name, lines }) => `${name} exited unexpectedly:\n${lines.join('\n')}`).join('\n'))
     }
   }
 }
 
 function find<T> (items: ReadonlyMap<string, T>, name: string): T {
   const item = items.get(name)
-  if (item === undefined) throw new Error(`no ${name} in this cluster`)
+  if (item === undefined) throw new Error(`unknown process or stand-in of this cluster: ${name}`)
   return item
 }
 
 async function readTimeline (nodes: readonly RunningNode[], connections: Connections, subject: string): Promise<TimelineEvent[]> {
   const running = nodes.filter(({ process }) => process.isRunning())
-  const answers = await Promise.allSettled(running.map(({ record }) =>
+  const responses = await Promise.allSettled(running.map(({ record }) =>
     connections.to(record.address).peer.timeline({ subject }, { timeoutMs: STATUS_TIMEOUT_MS })))
-  return mergeTimelines(answers.flatMap((answer) => answer.status === 'fulfilled' ? answer.value.events : []))
+  return mergeTimelines(responses.flatMap((response) => response.status === 'fulfilled' ? response.value.events : []))
 }
 
-async function control (process: ListeningProcess, name: string, body?: object): Promise<unknown> {
+async function callControl (process: ListeningProcess, name: string, body?: object): Promise<unknown> {
   const method = body === undefined ? 'GET' : 'POST'
-  const answer = await request(`${process.listening.url}/control/${name}`, { method, body: body === undefined ? undefined : JSON.stringify(body) })
-  return await answer.body.json()
+  const response = await request(`${process.listening.url}/control/${name}`, { method, body: body === undefined ? undefined : JSON.stringify(body) })
+  return await response.body.json()
 }
--- a/packages/bendfall-fakes/src/BendfallFakesClusterCalls.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesClusterCalls.ts
@@ -1,5 +1,7 @@
 /**
- * Calls to a cluster, judged: a whole answer, an honest refusal, or neither.
+ * Makes calls to a cluster and classifies each outcome: a complete and correct
+ * response, a refusal, no connection, a broken connection, or a violation of
+ * the guarantees to callers.
  *
  * @module
  */
@@ -10,69 +12,70 @@
 import type { ChatCall, StreamedAnswer } from './BendfallFakesDemoCalls.js'
 import { expectedTokens } from './BendfallFakesEngineDecode.js'
 
-/** What a caller got. */
+/** Outcome of a call as its caller sees it. */
 export type CallVerdict =
   | { readonly type: 'answered', readonly requestId: string, readonly status: number, readonly body: string }
   | { readonly type: 'refused', readonly requestId: string, readonly outcome: Extract<Outcome, 'not_run' | 'unknown'>, readonly reason: string }
-  /** The entry takes no connections: nothing was sent. */
+  /** The entry refused the connection, so nothing was sent. */
   | { readonly type: 'unreached' }
-  /** The connection broke: the caller knows nothing. */
+  /** The connection broke, so the caller cannot know whether the call ran. */
   | { readonly type: 'broken', readonly detail: string }
-  /** The answer breaks a promise. */
+  /** The response violates a guarantee to callers. */
   | { readonly type: 'violation', readonly requestId: string, readonly detail: string }
 
 interface RefusalBody {
   readonly error: { readonly outcome: 'not_run' | 'unknown', readonly reason: string, readonly requestId: string }
 }
 
-/** A chat completion to judge. */
+/** A chat completion whose response is checked. */
 export type ClusterChat = Pick<ChatCall, 'maxTokens' | 'prompt' | 'signal'> & { readonly onText?: ChatCall['onText'] }
 
 /**
- * Asks for a chat completion and compares the answer with what the engine
- * stand-in gives for its prompt.
+ * Requests a chat completion and compares the response with the output that the
+ * engine stand-in generates for its prompt.
  *
  * @param address - `ip:port` of an entry
- * @param chat - what to ask for
- * @returns the verdict
+ * @param chat - prompt, length and callbacks of the request
+ * @returns the verdict on the response
  */
 export async function judgeChat (address: string, chat: ClusterChat): Promise<CallVerdict> {
   try {
-    const answer = await streamChat(address, { model: CLUSTER_MODEL, client: CLUSTER_CLIENT, trafficClass: 'summary', ...chat })
-    return judgeStream(answer, expectedText(chat))
+    const response = await streamChat(address, { model: CLUSTER_MODEL, client: CLUSTER_CLIENT, trafficClass: 'summary', ...chat })
+    return judgeStream(response, expectedText(chat))
   } catch (error) {
     return judgeError(error)
   }
 }
 
 /**
- * Gives the whole text that a chat completion must bring.
+ * Returns the complete text that the engine stand-in generates for a chat
+ * completion.
  *
- * @param chat - prompt and length
- * @returns the text
+ * @param chat - the request; its prompt and `maxTokens` determine the text
+ * @returns the expected text
  */
 export function expectedText ({ prompt, maxTokens }: ClusterChat): string {
   return expectedTokens(`user: ${prompt}\n`, maxTokens).join('')
 }
 
-function judgeStream (answer: StreamedAnswer, expected: string): CallVerdict {
-  const { requestId, status, text, whole, refusal } = answer
+function judgeStream (response: StreamedAnswer, expected: string): CallVerdict {
+  const { requestId, status, text, whole, refusal } = response
   const violation = (detail: string): CallVerdict => ({ type: 'violation', requestId, detail: `${detail}\nexpected ${expected}\ngot      ${text}\nrefusal ${refusal}` })
-  if (!expected.startsWith(text)) return violation('text that is not of this request')
-  if (whole && refusal !== '') return violation('answered and refused')
-  if (whole) return text === expected ? { type: 'answered', requestId, status, body: text } : violation('part of the answer passed off as whole')
-  if (refusal === '') return { type: 'broken', detail: 'the stream ended without a mark' }
-  const verdict = readRefusal(refusal)
-  if (verdict.type === 'refused' && verdict.outcome === 'not_run' && text !== '') return violation('not run after output')
+  if (!expected.startsWith(text)) return violation('text that does not belong to this request')
+  if (whole && refusal !== '') return violation('both a complete response and a refusal')
+  if (whole) return text === expected ? { type: 'answered', requestId, status, body: text } : violation('partial response marked as complete')
+  if (refusal === '') return { type: 'broken', detail: 'the stream ended without an end marker' }
+  const verdict = parseRefusal(refusal)
+  if (verdict.type === 'refused' && verdict.outcome === 'not_run' && text !== '') return violation('outcome not_run after output')
   return verdict
 }
 
-function readRefusal (text: string): CallVerdict {
+function parseRefusal (text: string): CallVerdict {
   try {
     const { outcome, reason, requestId } = (JSON.parse(text) as RefusalBody).error
     return { type: 'refused', requestId, outcome, reason }
   } catch {
-    return { type: 'violation', requestId: '', detail: `no refusal: ${text}` }
+    return { type: 'violation', requestId: '', detail: `response is not a valid refusal: ${text}` }
   }
 }
 
@@ -81,27 +84,28 @@
   return isRefused ? { type: 'unreached' } : { type: 'broken', detail: String(error) }
 }
 
-/** A booking: a call that must not be repeated. */
+/** A booking: a non-idempotent call. */
 export interface Booking {
-  /** Names the booking at the stand-in, by path. */
+  /** Last segment of the path, by which the service stand-in counts runs. */
   readonly name: string
+  /** Idempotency key; the call has none when it is absent. */
   readonly key?: string
 }
 
 /**
- * Books, and reads the answer.
+ * Makes a booking and checks the response.
  *
  * @param address - `ip:port` of an entry
- * @param booking - what to book
- * @returns the verdict; a violation when the answer is of another booking
+ * @param booking - name and idempotency key of the booking
+ * @returns the verdict; a violation when the response belongs to another booking
  */
 export async function judgeBooking (address: string, { name, key }: Booking): Promise<CallVerdict> {
   const path = `${BOOKING_PATH}/${name}`
   try {
     const { status, body } = await callService(address, { method: 'POST', path, body: { name }, idempotencyKey: key, client: CLUSTER_CLIENT })
-    if (status !== 200) return readRefusal(body)
-    const isOwn = (JSON.parse(body) as { readonly path: string }).path === path
-    return isOwn ? { type: 'answered', requestId: '', status, body } : { type: 'violation', requestId: '', detail: `answer of another call: ${body}` }
+    if (status !== 200) return parseRefusal(body)
+    const isMatching = (JSON.parse(body) as { readonly path: string }).path === path
+    return isMatching ? { type: 'answered', requestId: '', status, body } : { type: 'violation', requestId: '', detail: `response to another call: ${body}` }
   } catch (error) {
     return judgeError(error)
   }
@@ -112,10 +116,10 @@
 const UUID_TIME_HEX_CHARS = 12
 
 /**
- * Makes an idempotency key that tells its issue time, as UUID version 7.
+ * Creates an idempotency key that contains its issue time, as UUID version 7.
  *
  * @param issuedAtMs - wall-clock time in milliseconds
- * @returns the key
+ * @returns the key in canonical UUID notation
  */
 export function createKey (issuedAtMs = Date.now()): string {
   const random = randomBytes(10)
--- a/packages/bendfall-fakes/src/BendfallFakesClusterFaults.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesClusterFaults.ts
@@ -1,5 +1,6 @@
 /**
- * Faults that tests and soak cause in a cluster, and how each ends.
+ * Injects faults into a cluster for the process tests and the soak, and clears
+ * them again.
  *
  * @module
  */
@@ -8,27 +9,27 @@
 import type { Fault } from './BendfallFakesFaults.js'
 import { eventually } from './BendfallFakesClusterWait.js'
 
-/** Kinds of faults. */
+/** Faults that can be injected into a cluster. */
 export type ClusterFaultKind =
   | 'cancel_lost' | 'engine_crash' | 'half_answer' | 'kill' | 'key_value_lost_answer' | 'key_value_outage'
   | 'pause' | 'slow_upstream' | 'stalled_transfer' | 'stop'
 
-/** A fault at a place. */
+/** A fault of one instance or of the platform. */
 export interface ClusterFault {
   readonly kind: ClusterFaultKind
-  /** Instance that it hits; empty for the platform. */
+  /** Affected instance; empty for the platform. */
   readonly instanceId: string
 }
 
-/** Ends a fault. */
+/** Clears an injected fault. */
 export type HealFault = () => Promise<void>
 
-type Inflict = (cluster: Cluster, instanceId: string) => Promise<HealFault>
+type InjectFault = (cluster: Cluster, instanceId: string) => Promise<HealFault>
 
 const SLOW_MS = 500
-const STOP_BOUND_MS = 35_000
+const STOP_TIMEOUT_MS = 35_000
 
-function atStandIn (fault: Fault, standIn?: string): Inflict {
+function atStandIn (fault: Fault, standIn?: string): InjectFault {
   return async (cluster, instanceId) => {
     const name = standIn ?? instanceId
     await cluster.fail(name, fault)
@@ -36,7 +37,7 @@
   }
 }
 
-const INFLICT: Readonly<Record<ClusterFaultKind, Inflict>> = {
+const INJECTORS: Readonly<Record<ClusterFaultKind, InjectFault>> = {
   cancel_lost: atStandIn({ mode: 'lose_cancel' }),
   engine_crash: atStandIn({ mode: 'crash_decode', count: 1 }),
   half_answer: atStandIn({ mode: 'half_answer', count: 2 }),
@@ -55,7 +56,7 @@
   stop: async (cluster, instanceId) => {
     const ended = cluster.terminate(instanceId)
     return async () => {
-      const { value: exitCode } = await eventually(`${instanceId} stops`, async () => await ended, STOP_BOUND_MS)
+      const { value: exitCode } = await eventually(`${instanceId} to stop`, async () => await ended, STOP_TIMEOUT_MS)
       if (exitCode !== 0) throw new Error(`${instanceId} stopped with exit code ${exitCode}`)
       await cluster.restart(instanceId)
     }
@@ -73,9 +74,9 @@
 }
 
 /**
- * Lists the faults that can hit a cluster.
+ * Lists the faults that can be injected into a cluster.
  *
- * @param cluster - the cluster
+ * @param cluster - a running cluster
  * @returns faults of every process and of the platform
  */
 export function possibleFaults (cluster: Cluster): readonly ClusterFault[] {
@@ -87,24 +88,24 @@
 }
 
 /**
- * Causes a fault.
+ * Injects a fault.
  *
- * @param cluster - the cluster
- * @param fault - what and where
- * @returns ends the fault
+ * @param cluster - a running cluster
+ * @param fault - kind of fault and affected instance
+ * @returns a function that clears the fault
  */
 export function inflictFault (cluster: Cluster, { kind, instanceId }: ClusterFault): Promise<HealFault> {
-  return INFLICT[kind](cluster, instanceId)
+  return INJECTORS[kind](cluster, instanceId)
 }
 
-/** Draws from lists, always the same for a seed. */
+/** Draws an item of a list at random; a seed always gives the same sequence of draws. */
 export type Draw = <T>(items: readonly T[]) => T
 
 /**
- * Makes draws from a seed.
+ * Creates a random draw with a seed.
  *
  * @param seed - any whole number
- * @returns the draws
+ * @returns the draw
  */
 export function createDraw (seed: number): Draw {
   let state = seed
@@ -116,12 +117,12 @@
 }
 
 /**
- * Draws faults at different places, so that each can be ended by itself.
+ * Draws faults of different instances, so that each can be cleared on its own.
  *
- * @param draw - the draws
- * @param possible - what may be drawn
- * @param count - how many
- * @returns the faults
+ * @param draw - source of randomness
+ * @param possible - faults to choose from
+ * @param count - number of faults; at most the number of different instances
+ * @returns the drawn faults
  */
 export function drawFaults (draw: Draw, possible: readonly ClusterFault[], count: number): readonly ClusterFault[] {
   const faults: ClusterFault[] = []
--- a/packages/bendfall-fakes/src/BendfallFakesClusterLoad.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesClusterLoad.ts
@@ -1,37 +1,38 @@
 /**
- * Steady load on a cluster, call after call, with every answer judged.
+ * Runs a steady closed-loop load on a cluster and collects the verdict on each
+ * call.
  *
  * @module
  */
 import type { CallVerdict } from './BendfallFakesClusterCalls.js'
 
-/** Load under way. */
+/** A running load. */
 export interface ClusterLoad {
-  /** Verdicts so far. */
+  /** Verdicts on the calls completed so far. */
   readonly verdicts: readonly CallVerdict[]
-  /** Starts no further call; resolves once those under way ended. */
+  /** Stops starting calls; resolves once the calls in flight have completed. */
   readonly stop: () => Promise<readonly CallVerdict[]>
 }
 
-/** Makes one call; calls are numbered from 0 and each number is used once. */
+/** Makes one call; `index` counts the calls of a load from 0. */
 export type LoadCall = (index: number) => Promise<CallVerdict>
 
 /**
- * Starts callers that each make one call after the other.
+ * Starts concurrent callers that each make one call after the other.
  *
- * @param callers - calls under way at any time
- * @param call - makes one call
- * @param ended - aborted when the cluster ends, and the load with it
- * @returns the load
+ * @param callers - number of concurrent calls
+ * @param call - makes one call and returns its verdict
+ * @param stopSignal - ends the load when the cluster stops
+ * @returns the running load
  */
-export function startLoad (callers: number, call: LoadCall, ended: AbortSignal): ClusterLoad {
+export function startLoad (callers: number, call: LoadCall, stopSignal: AbortSignal): ClusterLoad {
   const verdicts: CallVerdict[] = []
   let started = 0
   const stopped = new AbortController()
-  const until = AbortSignal.any([ended, stopped.signal])
+  const endSignal = AbortSignal.any([stopSignal, stopped.signal])
 
   async function runCaller (): Promise<void> {
-    while (!until.aborted) {
+    while (!endSignal.aborted) {
       const index = started
       started += 1
       verdicts.push(await call(index))
--- a/packages/bendfall-fakes/src/BendfallFakesClusterPlan.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesClusterPlan.ts
@@ -1,5 +1,5 @@
 /**
- * The fleet that process tests and soak run, and its intent.
+ * Defines the fleet that the process tests and the soak run, and its intent.
  *
  * @module
  */
@@ -11,17 +11,17 @@
 /** The model that the cluster serves. */
 export const CLUSTER_MODEL = 'lot-summary'
 
-/** The account in whose name the calls are made. */
+/** Client id with which the calls are made. */
 export const CLUSTER_CLIENT = 'cadastre'
 
-/** Where calls that must not be repeated go. */
+/** Path prefix of the non-idempotent calls. */
 export const BOOKING_PATH = '/freight/bookings'
 
 const ZONES = ['levis', 'beauport'] as const
 const PREFILL_TOKENS_PER_SECOND = 50_000
 const STEP_MS = 10
 
-/** How many of each kind to run, and how they behave. */
+/** Number of processes of each kind, and the options of the stand-ins. */
 export interface ClusterSize {
   readonly prefill?: number
   readonly decode?: number
@@ -32,10 +32,10 @@
 }
 
 /**
- * Makes the plan of a fleet over two availability zones.
+ * Creates the plan of a fleet in two availability zones.
  *
- * @param size - how many of each kind; 0 unless given, two entries
- * @returns the plan
+ * @param size - number of processes of each kind; the default is two entries and nothing else
+ * @returns the plan to start the fleet with
  */
 export function planCluster (size: ClusterSize): FleetPlan {
   const engine: EngineOptions = { prefillTokensPerSecond: PREFILL_TOKENS_PER_SECOND, stepMs: STEP_MS, totalKvBytes: 4e9, ...size.engine }
@@ -45,24 +45,24 @@
       ...planPool('decode', size.decode, 'engine', engine),
       ...planPool('freight', size.services, 'service', { ...size.service })
     ],
-    entries: instances('entry', size.entries ?? ZONES.length)
+    entries: createInstancePlans('entry', size.entries ?? ZONES.length)
   }
 }
 
 function planPool (pool: string, count: number | undefined, kind: UpstreamPlan['kind'], options: UpstreamPlan['options']): UpstreamPlan[] {
-  return instances(pool, count ?? 0).map((instance) => ({ ...instance, pool, kind, options }))
+  return createInstancePlans(pool, count ?? 0).map((instance) => ({ ...instance, pool, kind, options }))
 }
 
-function instances (name: string, count: number): Array<{ instanceId: string, availabilityZone: string }> {
+function createInstancePlans (name: string, count: number): Array<{ instanceId: string, availabilityZone: string }> {
   return Array.from({ length: count }, (_, index) =>
     ({ instanceId: `${name}-${index + 1}`, availabilityZone: ZONES[index % ZONES.length] }))
 }
 
 /**
- * Makes the intent of a fleet.
+ * Creates the intent of a fleet.
  *
- * @param size - how many of each kind
- * @returns an intent with wide latency targets: a busy machine is no fault
+ * @param size - number of processes of each kind, as for `planCluster`
+ * @returns an intent with wide latency targets, so that a busy machine does not count as a fault
  */
 export function planClusterIntent (size: ClusterSize): Intent {
   const targets = { firstOutputMs: 20_000, stepMs: 1_000 }
--- a/packages/bendfall-fakes/src/BendfallFakesClusterVersions.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesClusterVersions.ts
@@ -1,32 +1,33 @@
 /**
- * Samples the configuration versions of all processes of a cluster.
+ * Samples the configuration versions of all processes of a cluster, to detect
+ * processes that return to an older version.
  *
  * @module
  */
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { Cluster } from './BendfallFakesCluster.js'
 
-const SAMPLE_PAUSE_MS = 20
+const SAMPLE_INTERVAL_MS = 20
 
-/** What the samples showed. */
+/** Result of the sampling. */
 export interface VersionReport {
   readonly samples: number
-  /** Each case in which a process fell behind what it or everybody had. */
+  /** Each case in which a process returned to a version older than its own or than the one in force everywhere. */
   readonly reverts: readonly string[]
 }
 
-/** Sampling under way. */
+/** A running sampling. */
 export interface VersionWatch {
   readonly stop: () => Promise<VersionReport>
 }
 
 /**
- * Samples until stopped. Within a process the version never falls. A new
- * process knows none at first, and then none below what was in force
- * everywhere before its sample was asked for.
+ * Samples until stopped. The version of a process must never decrease. A new
+ * process has no version at first; any version that it then reports must not be
+ * lower than the one that was in force everywhere before the sample was requested.
  *
- * @param cluster - the cluster
- * @returns the sampling
+ * @param cluster - a running cluster
+ * @returns the running sampling
  */
 export function watchVersions (cluster: Cluster): VersionWatch {
   const highest = new Map<number, number>()
@@ -35,26 +36,26 @@
   let inForceEverywhere = 0
   let samples = 0
   const stopped = new AbortController()
-  const until = AbortSignal.any([cluster.ended, stopped.signal])
+  const endSignal = AbortSignal.any([cluster.ended, stopped.signal])
 
-  function note (instanceId: string, pid: number, version: number, floor: number): void {
-    const before = highest.get(pid) ?? 0
+  function recordSample (instanceId: string, pid: number, version: number, floor: number): void {
+    const previous = highest.get(pid) ?? 0
     samples += 1
-    if (version < before) reverts.push(`${instanceId}: ${version} after ${before}`)
-    if (version > 0 && version < floor) reverts.push(`${instanceId}: ${version} below ${floor}, in force everywhere`)
-    highest.set(pid, Math.max(before, version))
+    if (version < previous) reverts.push(`${instanceId}: version ${version} after ${previous}`)
+    if (version > 0 && version < floor) reverts.push(`${instanceId}: version ${version}, although ${floor} was in force everywhere`)
+    highest.set(pid, Math.max(previous, version))
     latest.set(instanceId, version)
     if (latest.size === cluster.instanceIds.length) inForceEverywhere = Math.max(inForceEverywhere, Math.min(...latest.values()))
   }
 
   async function sampleOne (instanceId: string): Promise<void> {
-    while (!until.aborted) {
+    while (!endSignal.aborted) {
       const floor = inForceEverywhere
       const { pid } = cluster.node(instanceId).process
       const version = await cluster.configVersion(instanceId).catch(() => undefined)
       const isSameProcess = cluster.node(instanceId).process.pid === pid
-      if (version !== undefined && isSameProcess) note(instanceId, pid, version, floor)
-      await sleep(SAMPLE_PAUSE_MS)
+      if (version !== undefined && isSameProcess) recordSample(instanceId, pid, version, floor)
+      await sleep(SAMPLE_INTERVAL_MS)
     }
   }
 
--- a/packages/bendfall-fakes/src/BendfallFakesClusterWait.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesClusterWait.ts
@@ -1,29 +1,29 @@
 /**
- * Waiting for something that another process brings about.
+ * Polls for a condition that another process brings about.
  *
  * @module
  */
 import { setTimeout as sleep } from 'node:timers/promises'
 
-const POLL_MS = 20
-const DEFAULT_BOUND_MS = 15_000
+const POLL_INTERVAL_MS = 20
+const DEFAULT_TIMEOUT_MS = 15_000
 
 /**
- * Waits until a look shows something.
+ * Polls until a probe returns a value.
  *
- * @param what - what is waited for, for the message
- * @param look - looks; undefined, false or an error means not yet
- * @param boundMs - longest wait
- * @returns what the look showed, and after how long
- * @throws Error when the bound is over, with what the last look told
+ * @param condition - name of the condition, for the error message
+ * @param probe - checks the condition; undefined, false or an error means that it does not hold yet
+ * @param timeoutMs - longest wait
+ * @returns the value that the probe returned, and the time waited
+ * @throws Error when the condition does not hold in time, with the error of the last probe
  */
-export async function eventually<T> (what: string, look: () => Promise<T | false | undefined>, boundMs = DEFAULT_BOUND_MS): Promise<{ readonly value: T, readonly waitedMs: number }> {
+export async function eventually<T> (condition: string, probe: () => Promise<T | false | undefined>, timeoutMs = DEFAULT_TIMEOUT_MS): Promise<{ readonly value: T, readonly waitedMs: number }> {
   const startedAtMs = performance.now()
   for (;;) {
-    const shown = await look().catch((error: unknown) => error instanceof Error ? error : new Error(String(error)))
+    const result = await probe().catch((error: unknown) => error instanceof Error ? error : new Error(String(error)))
     const waitedMs = performance.now() - startedAtMs
-    if (shown !== undefined && shown !== false && !(shown instanceof Error)) return { value: shown, waitedMs }
-    if (waitedMs > boundMs) throw new Error(`${what}: not within ${boundMs} ms${shown instanceof Error ? ` (${shown.message})` : ''}`)
-    await sleep(POLL_MS)
+    if (result !== undefined && result !== false && !(result instanceof Error)) return { value: result, waitedMs }
+    if (waitedMs > timeoutMs) throw new Error(`${condition}: timed out after ${timeoutMs} ms${result instanceof Error ? ` (${result.message})` : ''}`)
+    await sleep(POLL_INTERVAL_MS)
   }
 }
--- a/packages/bendfall-fakes/src/index.ts
+++ b/packages/bendfall-fakes/src/index.ts
@@ -1,5 +1,7 @@
 /**
- * Small stand-ins of the outside systems, the demo and the real-path bench.
+ * Stand-ins for the external systems that bendfall depends on: the model
+ * engine, a plain service, the key-value service, the instance list and the
+ * weight store.
  *
  * @module
  */
