--- a/packages/bendfall-fakes/src/BendfallFakesDemo.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesDemo.ts
@@ -1,5 +1,6 @@
 /**
- * The demo: the whole path across separate processes on loopback.
+ * Entry point of `npm run demo`: runs streamed chat completions and a booking
+ * through a fleet of separate processes on loopback, and prints the timeline.
  *
  * @module
  */
@@ -52,16 +53,16 @@
     print('confirmation', confirmText)
     await untilInForce(fleet, version)
     const addresses = fleet.entries.map(({ process }) => process.listening.callers)
-    await Promise.all([untilHomesHeld(fleet, SERVICE_POOL), runLanguage(addresses)])
+    await Promise.all([untilHomesHeld(fleet, SERVICE_POOL), runChats(addresses)])
     await runBooking(addresses)
   } finally {
-    print('time line', await readTimeline(fleet))
+    print('timeline', await readTimeline(fleet))
     await fleet.stop()
   }
-  print('done', `all processes ended with exit code 0 after ${Math.round(performance.now() - startedAtMs)} ms`)
+  print('done', `all processes exited with code 0 after ${Math.round(performance.now() - startedAtMs)} ms`)
 }
 
-async function runLanguage ([first, second]: readonly string[]): Promise<void> {
+async function runChats ([first, second]: readonly string[]): Promise<void> {
   const prompt = 'Tender 4711, Ploče to Bari, 22 pallets of olive oil. '.repeat(LONG_PROMPT_CHARS / 50)
   const summary = await streamChat(first, { model: MODEL, prompt, maxTokens: SUMMARY_TOKENS, trafficClass: 'summary', client: CLIENT })
   printStream('summary, streamed', summary)
@@ -72,23 +73,23 @@
 async function runBooking ([first, second]: readonly string[]): Promise<void> {
   const booking = { method: 'POST', path: '/freight/bookings', body: { truck: 'ST-204-KV', quay: 3 }, idempotencyKey: randomUUID(), keyIssuedAtMs: Date.now(), client: CLIENT } as const
   const booked = await callService(first, booking)
-  print('booking, not repeatable', `status ${booked.status} ${booked.body}`)
-  const again = await callService(second, booking)
-  print('the same booking again, through the other entry', `status ${again.status} ${again.body}`)
-  if (booked.status !== 200 || again.body !== booked.body) throw new Error('the booking was not answered once')
+  print('booking, non-idempotent', `status ${booked.status} ${booked.body}`)
+  const repeated = await callService(second, booking)
+  print('same booking, repeated through the other entry', `status ${repeated.status} ${repeated.body}`)
+  if (booked.status !== 200 || repeated.body !== booked.body) throw new Error('the booking failed, or its repetition returned a different response')
 }
 
-function printStream (title: string, answer: StreamedAnswer): void {
-  if (!answer.whole) throw new Error(`${title}: status ${answer.status} ${answer.refusal}`)
-  const { text, pieces, firstOutputMs, totalMs } = answer
-  print(title, `${text}\n(${pieces} pieces, first after ${Math.round(firstOutputMs)} ms, all after ${Math.round(totalMs)} ms)`)
+function printStream (title: string, response: StreamedAnswer): void {
+  if (!response.whole) throw new Error(`${title}: status ${response.status} ${response.refusal}`)
+  const { text, pieces, firstOutputMs, totalMs } = response
+  print(title, `${text}\n(${pieces} chunks, first after ${Math.round(firstOutputMs)} ms, last after ${Math.round(totalMs)} ms)`)
 }
 
 async function readTimeline (fleet: Fleet): Promise<string> {
   const connections = createConnections(CONNECT_TIMEOUT_MS)
-  const answers = await Promise.all([...fleet.entries, ...fleet.sidecars].map(({ record }) => connections.to(record.address).peer.timeline({})))
+  const responses = await Promise.all([...fleet.entries, ...fleet.sidecars].map(({ record }) => connections.to(record.address).peer.timeline({})))
   connections.close()
-  return formatTimeline(mergeTimelines(answers.flatMap((answer) => answer.events)))
+  return formatTimeline(mergeTimelines(responses.flatMap((response) => response.events)))
 }
 
 function print (title: string, text: string): void {
--- a/packages/bendfall-fakes/src/BendfallFakesDemoCalls.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesDemoCalls.ts
@@ -1,35 +1,36 @@
 /**
- * The calls of the demo and what callers get.
+ * HTTP client for chat completions and plain services, used by the demo, the
+ * benches, the process tests and the soak.
  *
  * @module
  */
 import { createInterface } from 'node:readline'
 import { request } from 'undici'
 
-/** Answer to a call of a plain service. */
+/** Response of a plain service, or a refusal. */
 export interface ServiceAnswer {
   readonly status: number
   readonly body: string
 }
 
-/** A chat completion that was streamed. */
+/** Result of a streamed chat completion. */
 export interface StreamedAnswer {
-  /** Id that the stream told; empty when it told none. */
+  /** Request id from the events of the stream; empty when there was none. */
   readonly requestId: string
   readonly status: number
   readonly text: string
-  /** Events that carried output. */
+  /** Number of events with output. */
   readonly pieces: number
-  /** True when the stream ended with its closing mark. */
+  /** True when the stream contained its end marker `[DONE]`. */
   readonly whole: boolean
-  /** Wait for the first output. */
+  /** Time from the request to the first output. */
   readonly firstOutputMs: number
   readonly totalMs: number
-  /** Body of a refusal, or data of an error event; empty for an answer. */
+  /** Body of a refusal, or data of an error event; empty on success. */
   readonly refusal: string
 }
 
-interface Piece {
+interface StreamEvent {
   readonly id?: string
   readonly error?: object
   readonly choices?: ReadonlyArray<{ readonly delta: { readonly content?: string } }>
@@ -37,7 +38,7 @@
 
 const ID_PREFIX = 'chatcmpl-'
 
-/** A chat completion to ask for. */
+/** A chat completion to request. */
 export interface ChatCall {
   readonly model: string
   readonly prompt: string
@@ -45,49 +46,49 @@
   readonly trafficClass: 'interactive' | 'summary'
   readonly client: string
   readonly signal?: AbortSignal
-  /** Sees each piece of output as it comes. */
+  /** Receives each chunk of output as it arrives. */
   readonly onText?: (text: string) => void
 }
 
 /**
- * Asks for a chat completion as a stream.
+ * Requests a chat completion as a stream and reads it to its end.
  *
  * @param address - `ip:port` of an entry
- * @param call - what to ask for
- * @returns the answer or refusal
+ * @param call - parameters of the request
+ * @returns the response, or a refusal with empty text
  */
 export async function streamChat (address: string, call: ChatCall): Promise<StreamedAnswer> {
   const startedAtMs = performance.now()
-  const answer = await request(`http://${address}/v1/chat/completions`, {
+  const response = await request(`http://${address}/v1/chat/completions`, {
     method: 'POST',
     headers: { 'content-type': 'application/json', 'bendfall-client': call.client, 'bendfall-class': call.trafficClass },
     body: JSON.stringify({ model: call.model, messages: [{ role: 'user', content: call.prompt }], max_tokens: call.maxTokens, stream: true }),
     signal: call.signal
   })
-  const none = { requestId: '', refusal: '', text: '', pieces: 0, whole: false, firstOutputMs: 0 }
-  if (answer.statusCode !== 200) {
-    const refusal = await answer.body.text()
-    return { ...none, status: answer.statusCode, refusal, totalMs: performance.now() - startedAtMs }
+  const emptyResult = { requestId: '', refusal: '', text: '', pieces: 0, whole: false, firstOutputMs: 0 }
+  if (response.statusCode !== 200) {
+    const refusal = await response.body.text()
+    return { ...emptyResult, status: response.statusCode, refusal, totalMs: performance.now() - startedAtMs }
   }
-  const read = { ...none }
-  for await (const line of createInterface({ input: answer.body })) {
+  const result = { ...emptyResult }
+  for await (const line of createInterface({ input: response.body })) {
     if (!line.startsWith('data: ')) continue
     const data = line.slice('data: '.length)
     if (data === '[DONE]') {
-      read.whole = true
+      result.whole = true
       continue
     }
-    const piece = JSON.parse(data) as Piece
-    if (piece.error !== undefined) read.refusal = data
-    read.requestId = piece.id?.slice(ID_PREFIX.length) ?? read.requestId
-    const text = piece.choices?.[0]?.delta.content
+    const event = JSON.parse(data) as StreamEvent
+    if (event.error !== undefined) result.refusal = data
+    result.requestId = event.id?.slice(ID_PREFIX.length) ?? result.requestId
+    const text = event.choices?.[0]?.delta.content
     if (text === undefined) continue
     call.onText?.(text)
-    if (read.pieces === 0) read.firstOutputMs = performance.now() - startedAtMs
-    read.pieces += 1
-    read.text += text
+    if (result.pieces === 0) result.firstOutputMs = performance.now() - startedAtMs
+    result.pieces += 1
+    result.text += text
   }
-  return { ...read, status: answer.statusCode, totalMs: performance.now() - startedAtMs }
+  return { ...result, status: response.statusCode, totalMs: performance.now() - startedAtMs }
 }
 
 /** A call of a plain service. */
@@ -96,7 +97,7 @@
   readonly path: string
   readonly body?: object
   readonly idempotencyKey?: string
-  /** Wall-clock time at which the key was made. */
+  /** Wall-clock time at which the key was created. */
   readonly keyIssuedAtMs?: number
   readonly client: string
 }
@@ -105,11 +106,11 @@
  * Calls a plain service.
  *
  * @param address - `ip:port` of an entry
- * @param call - the call
- * @returns the answer or refusal
+ * @param call - method, path, headers and body of the call
+ * @returns the response or refusal
  */
 export async function callService (address: string, call: ServiceCall): Promise<ServiceAnswer> {
-  const answer = await request(`http://${address}${call.path}`, {
+  const response = await request(`http://${address}${call.path}`, {
     method: call.method,
     headers: {
       'bendfall-client': call.client,
@@ -119,5 +120,5 @@
     },
     body: call.body === undefined ? undefined : JSON.stringify(call.body)
   })
-  return { status: answer.statusCode, body: await answer.body.text() }
+  return { status: response.statusCode, body: await response.body.text() }
 }
--- a/packages/bendfall-fakes/src/BendfallFakesDemoOperator.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesDemoOperator.ts
@@ -1,6 +1,6 @@
 /**
- * The operator of the demo: plans an intent and confirms the plan, with the
- * command line that operators use.
+ * Acts as the operator of a fleet: plans an intent and confirms the plan with
+ * the `bendfallctl` command line.
  *
  * @module
  */
@@ -15,28 +15,28 @@
 import type { Fleet } from './BendfallFakesDemoSetup.js'
 
 const CTL_MODULE = fileURLToPath(new URL('./BendfallctlMain.js', import.meta.resolve('bendfallctl')))
-/** From the first step of a command: a call that never ends shows within it. */
+/** Measured from the first step that a command logs, to detect a call that never ends. */
 const COMMAND_TIMEOUT_MS = 15_000
 
-/** Until that step, as for other processes of a cluster. */
+/** Time until that step; the same as for the other processes of a cluster. */
 const COMMAND_START_TIMEOUT_MS = 40_000
 
-/** Has commands tell how long their steps take. */
+/** Makes commands log the duration of each step. */
 const DEBUG_LEVEL = '4'
 
 const run = promisify(execFile)
 
-/** What the operator did. */
+/** Output of planning and confirming an intent. */
 export interface Confirmation {
-  /** The plan as the operator read it. */
+  /** Output of the `plan` command for humans. */
   readonly planText: string
-  /** What the confirmation answered. */
+  /** Output of the `confirm` command. */
   readonly confirmText: string
-  /** Version that is to come into force. */
+  /** Configuration version that the plan creates. */
   readonly version: number
 }
 
-/** How a command ended. */
+/** Exit code and output of a command. */
 export interface CommandEnd {
   readonly exitCode: number
   readonly output: string
@@ -49,9 +49,9 @@
  * Plans an intent and confirms the plan.
  *
  * @param fleet - the running fleet
- * @param intent - what to ask for
- * @returns plan and confirmation
- * @throws Error when a command ends with another exit code than 0
+ * @param intent - the intent to bring into force
+ * @returns the output of both commands and the new version
+ * @throws Error when a command exits with a code other than 0
  */
 export async function confirmIntent (fleet: Fleet, intent: Intent): Promise<Confirmation> {
   return await withIntentFile(fleet, intent, async (command) => {
@@ -63,12 +63,12 @@
 }
 
 /**
- * Lets an operator work on one intent.
+ * Runs a function with access to the commands of `bendfallctl` for one intent.
  *
  * @param fleet - the running fleet
- * @param intent - the intent, put into a file
- * @param work - what the operator does
- * @returns what the work resolves to
+ * @param intent - the intent, written to a temporary file for the commands
+ * @param work - runs commands; the file is deleted when its promise settles
+ * @returns the result of `work`
  */
 export async function withIntentFile<T> (fleet: Fleet, intent: Intent, work: (command: IntentCommand) => Promise<T>): Promise<T> {
   const directory = await mkdtemp(join(tmpdir(), 'bendfall-intent-'))
@@ -85,31 +85,35 @@
 async function runCtl (args: readonly string[]): Promise<CommandEnd> {
   const env = { ...process.env, CONSOLA_LEVEL: DEBUG_LEVEL }
   const running = run(process.execPath, [CTL_MODULE, ...args], { env })
-  const ending = endWhenLate(running.child)
-  const ended = await running.catch((error: unknown) => error as ExecFileException)
-  ending.cancel()
-  // Without this a command that was ended looks like one that failed by itself.
-  if (ending.cause() !== undefined) throw new Error(`command ${args[0]} was ended: ${ending.cause()}\n${ended.stderr}`)
-  const exitCode = 'code' in ended ? Number(ended.code ?? NaN) : 0
-  return { exitCode, output: `${ended.stdout ?? ''}`.trimEnd() }
+  const watchdog = killWhenLate(running.child)
+  const result = await running.catch((error: unknown) => error as ExecFileException)
+  watchdog.cancel()
+  // Without this check, a killed command would look like one that failed on its own.
+  if (watchdog.cause() !== undefined) throw new Error(`command ${args[0]} was killed: ${watchdog.cause()}\n${result.stderr}`)
+  const exitCode = 'code' in result ? Number(result.code ?? NaN) : 0
+  return { exitCode, output: `${result.stdout ?? ''}`.trimEnd() }
 }
 
-/** Ends a command that does not reach its first step, or from there does not end; a process that starts gets no processor on a machine that is busy enough. */
-function endWhenLate (child: ChildProcess): { readonly cause: () => string | undefined, readonly cancel: () => void } {
+/**
+ * Kills a command that logs no step within a time limit, or does not exit within
+ * another limit after its first step. The limits are separate because a starting
+ * process may get no CPU time on a busy machine.
+ */
+function killWhenLate (child: ChildProcess): { readonly cause: () => string | undefined, readonly cancel: () => void } {
   let cause: string | undefined
-  const endAfter = (limitMs: number, what: string): NodeJS.Timeout => setTimeout(() => {
-    cause = `${what} within ${limitMs} ms`
+  const killAfter = (limitMs: number, missing: string): NodeJS.Timeout => setTimeout(() => {
+    cause = `${missing} within ${limitMs} ms`
     child.kill()
   }, limitMs)
-  let timer = endAfter(COMMAND_START_TIMEOUT_MS, 'no step')
+  let timer = killAfter(COMMAND_START_TIMEOUT_MS, 'no step logged')
   child.stderr?.once('data', () => {
     clearTimeout(timer)
-    timer = endAfter(COMMAND_TIMEOUT_MS, 'no end')
+    timer = killAfter(COMMAND_TIMEOUT_MS, 'no exit')
   })
   return { cause: () => cause, cancel: () => clearTimeout(timer) }
 }
 
 function outputOf ({ exitCode, output }: CommandEnd): string {
-  if (exitCode !== 0) throw new Error(`command ended with ${exitCode}: ${output}`)
+  if (exitCode !== 0) throw new Error(`command exited with code ${exitCode}: ${output}`)
   return output
 }
--- a/packages/bendfall-fakes/src/BendfallFakesDemoProcess.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesDemoProcess.ts
@@ -1,5 +1,6 @@
 /**
- * Child processes of the demo, the benches, the process tests and the soak.
+ * Starts, signals and stops the child processes of the demo, the benches, the
+ * process tests and the soak.
  *
  * @module
  */
@@ -10,49 +11,51 @@
 
 const PARENT_WATCH_MODULE = import.meta.resolve('./BendfallFakesParentWatch.js')
 const STALL_WATCH_MODULE = import.meta.resolve('./BendfallFakesStallWatch.js')
-/** Until a process listens; a dozen start at once, also on a busy machine. */
+/** Time until a process listens. It is long because a dozen processes start at once, possibly on a busy machine. */
 const START_TIMEOUT_MS = 40_000
 const STOP_TIMEOUT_MS = 10_000
 
-/** Signals that tests and soak send. */
+/** Signals that the tests and the soak send. */
 export type ProcessSignal = 'SIGCONT' | 'SIGKILL' | 'SIGSTOP' | 'SIGTERM'
 
-/** How a process is started. */
+/** Options of a child process. */
 export interface ProcessOptions {
+  /** Environment variables in addition to those of this process. */
   readonly env?: Readonly<Record<string, string>>
+  /** Value of `event` in the line that reports that the process listens. Default `listening`. */
   readonly readyEvent?: string
 }
 
-/** A process that listens. */
+/** A child process that has reported that it listens. */
 export interface ListeningProcess {
   readonly name: string
   readonly pid: number
-  /** Pairs of its line `event=listening`. */
+  /** Key-value pairs of the line that reported that it listens. */
   readonly listening: Readonly<Record<string, string>>
-  /** Lines it wrote so far. */
+  /** Lines written so far to standard output and standard error. */
   readonly lines: readonly string[]
-  /** Resolves when the process ended: to its exit code, null after a signal. */
+  /** Resolves on exit: to the exit code, or to null when a signal ended the process. */
   readonly exited: Promise<number | null>
   readonly isRunning: () => boolean
-  /** Sends a signal to this one process. */
+  /** Sends a signal to this process only. */
   readonly signal: (signal: ProcessSignal) => void
   /**
-   * Asks for a graceful shutdown and waits for it.
+   * Requests a graceful shutdown and waits for it.
    *
-   * @throws Error unless the process ends with exit code 0 in time
+   * @throws Error unless the process exits with code 0 in time
    */
   readonly stop: () => Promise<void>
 }
 
 /**
- * Starts a compiled module as a process.
+ * Starts a compiled module as a child process.
  *
- * @param name - name of the process, for messages
+ * @param name - name of the process in error messages
  * @param modulePath - path of the compiled module
- * @param args - arguments of the module
- * @param options - variables beside those of this process, and the event that tells that it listens
- * @returns the process once it wrote that line
- * @throws Error when it ends or stays silent instead
+ * @param args - command line arguments of the module
+ * @param options - environment, and the event that reports that the process listens
+ * @returns the process, once it has reported that it listens
+ * @throws Error when it exits first or does not report in time
  */
 export async function startProcess (name: string, modulePath: string, args: readonly string[], options: ProcessOptions = {}): Promise<ListeningProcess> {
   const { env = {}, readyEvent = 'listening' } = options
@@ -68,7 +71,7 @@
     })
   })
   try {
-    const pairs = await Promise.race([listening, exited.then(() => undefined), after(START_TIMEOUT_MS)])
+    const pairs = await Promise.race([listening, exited.then(() => undefined), resolveAfter(START_TIMEOUT_MS)])
     if (pairs === undefined) throw new Error(`${name} did not start:\n${lines.join('\n')}`)
     return {
       name,
@@ -88,23 +91,23 @@
 
 async function stopProcess (name: string, child: ChildProcess, exited: Promise<unknown>, lines: readonly string[]): Promise<void> {
   child.kill('SIGTERM')
-  const inTime = await Promise.race([exited.then(() => true), after(STOP_TIMEOUT_MS)])
-  if (inTime !== true) {
+  const hasExited = await Promise.race([exited.then(() => true), resolveAfter(STOP_TIMEOUT_MS)])
+  if (hasExited !== true) {
     child.kill('SIGKILL')
-    throw new Error(`${name} did not stop in ${STOP_TIMEOUT_MS} ms:\n${lines.join('\n')}`)
+    throw new Error(`${name} did not stop within ${STOP_TIMEOUT_MS} ms:\n${lines.join('\n')}`)
   }
-  if (child.exitCode !== 0) throw new Error(`${name} ended with ${child.exitCode ?? child.signalCode}:\n${lines.join('\n')}`)
+  if (child.exitCode !== 0) throw new Error(`${name} exited with ${child.exitCode ?? child.signalCode}:\n${lines.join('\n')}`)
 }
 
-function after (waitMs: number): Promise<undefined> {
+function resolveAfter (waitMs: number): Promise<undefined> {
   return new Promise((resolve) => { setTimeout(() => resolve(undefined), waitMs).unref() })
 }
 
 /**
- * Reads a line of key=value pairs.
+ * Parses a log line of `key=value` pairs.
  *
- * @param line - the line; values may be quoted
- * @returns the pairs
+ * @param line - the line; values may be quoted as JSON strings
+ * @returns the values by key
  */
 export function readPairs (line: string): Record<string, string> {
   const pairs = line.matchAll(/([A-Za-z_]\w*)=("(?:[^"\\]|\\.)*"|\S*)/g)
--- a/packages/bendfall-fakes/src/BendfallFakesDemoSetup.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesDemoSetup.ts
@@ -1,6 +1,6 @@
 /**
- * What the demo, the real-path bench and the process tests run: stand-ins,
- * sidecars and entries, each a process of its own.
+ * Starts the fleet of the demo, the end-to-end bench, the process tests and the
+ * soak: stand-ins, sidecars and entries, each as a separate process.
  *
  * @module
  */
@@ -29,11 +29,11 @@
 const HOME_SLOTS = 16
 const HOMES_POLL_MS = 100
 
-// A new holder answers unknown for keys issued less than twice the allowed
-// clock skew of 2 s after it took its slot.
+// A new holder responds with `unknown` to keys issued less than twice the allowed
+// clock skew of 2 s after it acquired its slot.
 const NEW_HOLDER_MS = 4_200
 
-/** An upstream to run with its sidecar. */
+/** An upstream stand-in to start together with its sidecar. */
 export interface UpstreamPlan {
   readonly instanceId: string
   readonly availabilityZone: string
@@ -42,50 +42,53 @@
   readonly options: EngineOptions | ServiceOptions
 }
 
-/** An entry to run. */
+/** An entry to start. */
 export interface EntryPlan {
   readonly instanceId: string
   readonly availabilityZone: string
 }
 
-/** What to run. */
+/** Processes to start, and their settings. */
 export interface FleetPlan {
   readonly upstreams: readonly UpstreamPlan[]
   readonly entries: readonly EntryPlan[]
-  /** Settings of all bendfall processes that differ from the defaults. */
+  /** Timings of all bendfall processes that differ from the defaults. */
   readonly timings?: Partial<TimingSettings>
+  /** Limits of all bendfall processes that differ from the defaults. */
   readonly limits?: Partial<LimitSettings>
 }
 
-/** A bendfall process that runs. */
+/** A running bendfall process. */
 export interface RunningNode {
   readonly record: InstanceRecord
   readonly process: ListeningProcess
-  /** Starts a process with the same settings and addresses, after this one ended. */
+  /** Starts a process with the same settings and addresses, after this one has exited. */
   readonly restart: () => Promise<RunningNode>
 }
 
-/** All that runs. */
+/** All processes of a running fleet. */
 export interface Fleet {
   readonly keyValueUrl: string
   readonly instanceListUrl: string
   readonly entries: readonly RunningNode[]
   readonly sidecars: readonly RunningNode[]
-  /** Stand-ins of the platform and of upstreams, the latter by instance. */
+  /** Stand-in for the key-value service. */
   readonly keyValue: ListeningProcess
+  /** Stand-in for the instance list. */
   readonly instanceList: ListeningProcess
+  /** Stand-ins for the upstreams, by instance id. */
   readonly upstreams: ReadonlyMap<string, ListeningProcess>
   /**
    * Stops all processes gracefully, entries first.
    *
-   * @throws Error when one did not end with exit code 0
+   * @throws Error when one did not exit with code 0
    */
   readonly stop: () => Promise<void>
-  /** Ends all processes at once, paused ones too. */
+  /** Kills all processes, including suspended ones. */
   readonly kill: () => Promise<void>
 }
 
-/** Settings file of a bendfall process. */
+/** Content of the settings file of a bendfall process. */
 interface NodeSettings {
   readonly role: 'entry' | 'sidecar'
   readonly instanceId: string
@@ -98,32 +101,32 @@
   readonly upstream?: { readonly kind: UpstreamPlan['kind'], readonly url: string }
 }
 
-/** A fleet while it starts: what must be undone when the start fails. */
-interface Started {
+/** Resources of a fleet that must be released, also when the start fails halfway. */
+interface FleetResources {
   readonly directory: string
   readonly groups: ListeningProcess[][]
 }
 
 /**
- * Starts stand-ins, sidecars and entries, and lists them in the instance list.
+ * Starts stand-ins, sidecars and entries, and publishes them in the instance list.
  *
- * @param plan - what to run
+ * @param plan - processes to start, and their settings
  * @returns the running fleet
  */
 export async function startFleet (plan: FleetPlan): Promise<Fleet> {
-  const started: Started = { directory: await mkdtemp(join(tmpdir(), 'bendfall-')), groups: [] }
+  const resources: FleetResources = { directory: await mkdtemp(join(tmpdir(), 'bendfall-')), groups: [] }
   try {
-    return await startAll(plan, started)
+    return await startAll(plan, resources)
   } catch (error) {
-    await stopAll(started).catch(() => {})
+    await stopAll(resources).catch(() => {})
     throw error
   }
 }
 
-async function startAll (plan: FleetPlan, started: Started): Promise<Fleet> {
-  const [keyValue, instanceList] = await startGroup(started, [startStandIn('key-value'), startStandIn('instances')])
+async function startAll (plan: FleetPlan, resources: FleetResources): Promise<Fleet> {
+  const [keyValue, instanceList] = await startGroup(resources, [startStandIn('key-value'), startStandIn('instances')])
   const platform = { keyValueUrl: keyValue.listening.url, instanceListUrl: instanceList.listening.url }
-  const upstreams = await startGroup(started, plan.upstreams.map(({ kind, options }) => startStandIn(kind, options)))
+  const upstreams = await startGroup(resources, plan.upstreams.map(({ kind, options }) => startStandIn(kind, options)))
   const shared = { platform, timings: { ...TIMINGS, ...plan.timings }, limits: plan.limits ?? {} }
   const sidecars = plan.upstreams.map(({ instanceId, availabilityZone, pool, kind }, index): NodeSettings =>
     ({ role: 'sidecar', instanceId, availabilityZone, pool, listen: { peers: ANY_PORT }, ...shared, upstream: { kind, url: upstreams[index].listening.url } }))
@@ -133,22 +136,22 @@
     ...platform,
     keyValue,
     instanceList,
-    sidecars: await startNodes(started, sidecars),
-    entries: await startNodes(started, entries),
+    sidecars: await startNodes(resources, sidecars),
+    entries: await startNodes(resources, entries),
     upstreams: new Map(upstreams.map((process, index) => [plan.upstreams[index].instanceId, process])),
-    stop: () => stopAll(started),
-    kill: () => killAll(started)
+    stop: () => stopAll(resources),
+    kill: () => killAll(resources)
   }
   await listInstances(platform.instanceListUrl, [...fleet.sidecars, ...fleet.entries].map(({ record }) => record))
   return fleet
 }
 
-async function startNodes (started: Started, settings: readonly NodeSettings[]): Promise<RunningNode[]> {
-  const processes = await startGroup(started, settings.map((one) => startNode(started, one)))
-  return processes.map((process, index) => runningNode(started, settings[index], process))
+async function startNodes (resources: FleetResources, settings: readonly NodeSettings[]): Promise<RunningNode[]> {
+  const processes = await startGroup(resources, settings.map((one) => startNode(resources, one)))
+  return processes.map((process, index) => runningNode(resources, settings[index], process))
 }
 
-function runningNode (started: Started, settings: NodeSettings, process: ListeningProcess): RunningNode {
+function runningNode (resources: FleetResources, settings: NodeSettings, process: ListeningProcess): RunningNode {
   const { callers, peers } = process.listening
   const { role, instanceId, availabilityZone, pool = '' } = settings
   return {
@@ -156,30 +159,30 @@
     record: { instanceId, availabilityZone, address: peers, kind: role === 'entry' ? 'entry' : 'upstream', pool, state: 'live' },
     restart: async () => {
       const listen = callers === undefined ? { peers } : { callers, peers }
-      const [node] = await startNodes(started, [{ ...settings, listen }])
+      const [node] = await startNodes(resources, [{ ...settings, listen }])
       return node
     }
   }
 }
 
 /**
- * Waits until a configuration is in force everywhere: engines hold what it
- * orders, entries know all upstreams.
+ * Waits until a configuration is in force everywhere: engines have applied it,
+ * and entries know all upstreams.
  *
  * @param fleet - the running fleet
  * @param version - version of the configuration
- * @throws Error when this takes too long
+ * @throws Error when this does not happen in time
  */
 export async function untilInForce (fleet: Fleet, version: number): Promise<void> {
   const connections = createConnections(CONNECT_TIMEOUT_MS)
   const nodes = [...fleet.entries, ...fleet.sidecars]
-  const giveUpAtMs = performance.now() + IN_FORCE_TIMEOUT_MS
+  const deadlineMs = performance.now() + IN_FORCE_TIMEOUT_MS
   try {
     for (;;) {
-      const answers = await Promise.all(nodes.map(({ record }) => connections.to(record.address).peer.status({})))
-      const behind = answers.filter((answer) => !isInForce(JSON.parse(answer.reconcileJson), version, fleet.sidecars.length))
-      if (behind.length === 0) return
-      if (performance.now() > giveUpAtMs) throw new Error(`not in force: ${behind.map((answer) => answer.reconcileJson).join(' ')}`)
+      const responses = await Promise.all(nodes.map(({ record }) => connections.to(record.address).peer.status({})))
+      const outdated = responses.filter((response) => !isInForce(JSON.parse(response.reconcileJson), version, fleet.sidecars.length))
+      if (outdated.length === 0) return
+      if (performance.now() > deadlineMs) throw new Error(`configuration is not in force everywhere: ${outdated.map((response) => response.reconcileJson).join(' ')}`)
       await sleep(IN_FORCE_POLL_MS)
     }
   } finally {
@@ -188,21 +191,21 @@
 }
 
 /**
- * Waits until every slot of a pool's key homes has been held for so long that
+ * Waits until every slot of a pool's key homes has been held long enough that
  * its holder accepts keys issued now.
  *
  * @param fleet - the running fleet
  * @param pool - a pool of plain services
- * @throws Error when this takes too long
+ * @throws Error when this does not happen in time
  */
 export async function untilHomesHeld (fleet: Fleet, pool: string): Promise<void> {
   const keyValue = createHttpKeyValue({ origin: fleet.keyValueUrl })
-  const giveUpAtMs = performance.now() + IN_FORCE_TIMEOUT_MS
+  const deadlineMs = performance.now() + IN_FORCE_TIMEOUT_MS
   try {
     for (;;) {
       const held = await keyValue.list(`home/${pool}/`)
       if (held.type === 'listed' && held.entries.length === HOME_SLOTS) break
-      if (performance.now() > giveUpAtMs) throw new Error(`slots of ${pool} are not held: ${JSON.stringify(held)}`)
+      if (performance.now() > deadlineMs) throw new Error(`not all slots of pool ${pool} are held: ${JSON.stringify(held)}`)
       await sleep(HOMES_POLL_MS)
     }
   } finally {
@@ -216,9 +219,9 @@
   return 'phase' in progress ? progress.phase === 'settled' : progress.liveUpstreams === upstreams
 }
 
-async function startGroup (started: Started, starting: ReadonlyArray<Promise<ListeningProcess>>): Promise<ListeningProcess[]> {
+async function startGroup (resources: FleetResources, starting: ReadonlyArray<Promise<ListeningProcess>>): Promise<ListeningProcess[]> {
   const group: ListeningProcess[] = []
-  started.groups.push(group)
+  resources.groups.push(group)
   const outcomes = await Promise.allSettled(starting)
   for (const outcome of outcomes) {
     if (outcome.status === 'fulfilled') group.push(outcome.value)
@@ -232,25 +235,25 @@
   return startProcess(`stand-in ${kind}`, STAND_IN_MODULE, [kind, JSON.stringify(options)])
 }
 
-async function startNode ({ directory }: Started, settings: NodeSettings): Promise<ListeningProcess> {
+async function startNode ({ directory }: FleetResources, settings: NodeSettings): Promise<ListeningProcess> {
   const file = join(directory, `${settings.instanceId}.json`)
   await writeFile(file, JSON.stringify(settings))
   return await startProcess(settings.instanceId, NODE_MODULE, [settings.role, '--settings', file])
 }
 
 /**
- * Replaces the instance list.
+ * Replaces the content of the instance list.
  *
- * @param url - URL of its stand-in
- * @param instances - what it is to show
- * @param lagMs - time until it shows that
+ * @param url - URL of the stand-in for the instance list
+ * @param instances - the new list
+ * @param lagMs - delay until readers see the new list
  */
 export async function listInstances (url: string, instances: readonly InstanceRecord[], lagMs = 0): Promise<void> {
-  const answer = await request(`${url}/control/instances`, { method: 'POST', body: JSON.stringify({ instances, lagMs }) })
-  await answer.body.dump()
+  const response = await request(`${url}/control/instances`, { method: 'POST', body: JSON.stringify({ instances, lagMs }) })
+  await response.body.dump()
 }
 
-async function stopAll ({ directory, groups }: Started): Promise<void> {
+async function stopAll ({ directory, groups }: FleetResources): Promise<void> {
   const failures: unknown[] = []
   for (const group of [...groups].reverse()) {
     const outcomes = await Promise.allSettled(group.map((process) => process.stop()))
@@ -260,7 +263,7 @@
   if (failures.length > 0) throw new AggregateError(failures, failures.map(String).join('\n'))
 }
 
-async function killAll ({ directory, groups }: Started): Promise<void> {
+async function killAll ({ directory, groups }: FleetResources): Promise<void> {
   const processes = groups.flat()
   for (const process of processes) process.signal('SIGKILL')
   await Promise.all(processes.map((process) => process.exited))
