--- a/packages/bendfall-fakes/src/BendfallFakesEngine.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesEngine.ts
@@ -1,5 +1,6 @@
 /**
- * Stand-in of a model engine: wiring, cancels, load report and orders.
+ * Stand-in for a model engine. This module assembles its prefill and decode
+ * sides and handles cancels, load reports and orders.
  *
  * @module
  */
@@ -23,72 +24,72 @@
   totalKvBytes: 1_000_000_000,
   kvBytesPerToken: 100_000,
   prefillTokensPerSecond: 10_000,
-  /** Time from the end of a prefill to the eviction of its result. */
+  /** Time from the end of a prefill to the eviction of its KV cache. */
   evictsInMs: 800,
   prefixCacheEntries: 256,
-  /** Rate of all exports together. */
+  /** Total bandwidth of all exports. */
   linkBytesPerSecond: 1_000_000_000,
-  /** Time between two progress lines of a transfer. */
+  /** Interval between two progress lines of a transfer. */
   progressMs: 10,
   stepMs: 10,
   tokensPerStep: 1,
   reportLagMs: 0,
   cacheEventLagMs: 0,
-  /** Each such event is lost; 0 for none. */
+  /** Drops every n-th cache event; 0 drops none. */
   cacheEventGapEvery: 0,
-  /** Frees an attempt whose caller's connection closed, without a cancel. */
+  /** Frees an attempt without a cancel when its caller's connection closes. */
   cancelsWhenLeft: false,
-  /** Refuses orders with an older fencing token. */
+  /** Rejects orders with an older fencing token. */
   checksFencing: true,
-  /** Origin of the weight store; empty for weights that are there at once. */
+  /** Origin of the weight store; when it is empty, weights are available at once. */
   weightStoreUrl: ''
 }
 
-/** Behaviour of the stand-in. */
+/** Settings of the simulated engine. */
 export type EngineSettings = Readonly<typeof DEFAULTS>
 
-/** Settings of the stand-in. */
+/** Settings that differ from the defaults, and where to listen. */
 export type EngineOptions = Partial<EngineSettings> & ListenOptions
 
-/** What the sides of an engine share. */
+/** State that the prefill and decode sides of an engine share. */
 export interface EngineParts {
   readonly options: EngineSettings
   readonly ledger: EngineLedger
   readonly faults: FaultBoard
   readonly url: () => string
-  /** Ties the connection of a call to what it holds. */
+  /** Ties the connection of a call to its attempt: a crash aborts the connection, and a disconnect may free the attempt. */
   readonly follow: (exchange: Exchange, held: HeldAttempt) => void
-  /** Loses all memory and cuts the calls that hold some. */
+  /** Simulates a crash: frees all memory and aborts the calls that hold some. */
   readonly crash: () => void
 }
 
-/** What an engine holds. */
+/** State of an engine, for assertions. */
 export interface EngineState {
   readonly attempts: readonly HeldView[]
   readonly usedKvBytes: number
-  /** Requests for which work ever began, the newest of them. */
+  /** Most recent requests for which any work began. */
   readonly requestIds: readonly string[]
-  /** Prefill results not yet evicted. */
+  /** Handles of the KV caches that are not yet evicted. */
   readonly handles: readonly string[]
-  /** Prefills and exports that ended whole; their difference was wasted. */
+  /** Numbers of completed prefills and exports; the difference is wasted prefills. */
   readonly prefills: number
   readonly exports: number
   /** Order in force. */
   readonly order: EngineOrder | undefined
-  /** Fencing tokens of the orders carried out, in this sequence. */
+  /** Fencing tokens of the applied orders, in order of application. */
   readonly fencingTokens: readonly number[]
 }
 
 /** The running stand-in. */
 export interface EngineStandIn extends StandIn {
-  /** What is held now, as `GET /control/state` shows it. */
+  /** Returns the current state, as `GET /control/state` does. */
   readonly state: () => EngineState
 }
 
 /**
  * Starts the stand-in.
  *
- * @param given - where to listen, and what differs from the defaults
+ * @param given - where to listen, and settings that differ from the defaults
  * @returns the running stand-in
  * @throws when the port cannot be bound
  */
@@ -101,7 +102,7 @@
     ledger,
     faults,
     url: () => standIn.url,
-    follow: (exchange, held) => follow(exchange, held, ledger, options.cancelsWhenLeft),
+    follow: (exchange, held) => bindConnection(exchange, held, ledger, options.cancelsWhenLeft),
     crash: () => {
       ledger.crash()
       prefillSide.crash()
@@ -130,7 +131,7 @@
   return { ...standIn, state }
 }
 
-function follow (exchange: Exchange, held: HeldAttempt, ledger: EngineLedger, cancelsWhenLeft: boolean): void {
+function bindConnection (exchange: Exchange, held: HeldAttempt, ledger: EngineLedger, cancelsWhenLeft: boolean): void {
   const { signal } = held.controller
   signal.addEventListener('abort', () => {
     if (signal.reason === CRASH_REASON) exchange.cut()
@@ -139,7 +140,7 @@
 }
 
 function cancelRoutes (ledger: EngineLedger, faults: FaultBoard): Routes {
-  const confirmUnlessLost = (exchange: Exchange, run: () => void): JsonReply | undefined => {
+  const cancelUnlessLost = (exchange: Exchange, run: () => void): JsonReply | undefined => {
     if (faults.take('lose_cancel', exchange.path) !== undefined) {
       exchange.cut()
       return undefined
@@ -148,8 +149,8 @@
     return { body: { type: 'cancelled' } }
   }
   return {
-    'POST /cancel': (exchange) => confirmUnlessLost(exchange, () => ledger.cancel(exchange.json<AttemptRef>())),
-    'POST /cancel-all': (exchange) => confirmUnlessLost(exchange, ledger.cancelAll)
+    'POST /cancel': (exchange) => cancelUnlessLost(exchange, () => ledger.cancel(exchange.json<AttemptRef>())),
+    'POST /cancel-all': (exchange) => cancelUnlessLost(exchange, ledger.cancelAll)
   }
 }
 
@@ -193,10 +194,10 @@
 async function loadWeights (weightStoreUrl: string, order: EngineOrder): Promise<number | undefined> {
   if (weightStoreUrl === '') return undefined
   const http = createHttpExchanger({ origin: weightStoreUrl })
-  const answer = await http.send({ method: 'GET', path: `/weights/${order.model}?bytes=${order.weightBytes}`, timeoutMs: WEIGHT_TIMEOUT_MS })
+  const response = await http.send({ method: 'GET', path: `/weights/${order.model}?bytes=${order.weightBytes}`, timeoutMs: WEIGHT_TIMEOUT_MS })
   await http.close()
-  if (answer.isErr()) return WEIGHT_RETRY_AFTER_MS
-  if (answer.value.status === OK_STATUS) return undefined
-  const refusal = JSON.parse(Buffer.from(answer.value.body).toString('utf8')) as { readonly retryAfterMs?: number }
+  if (response.isErr()) return WEIGHT_RETRY_AFTER_MS
+  if (response.value.status === OK_STATUS) return undefined
+  const refusal = JSON.parse(Buffer.from(response.value.body).toString('utf8')) as { readonly retryAfterMs?: number }
   return refusal.retryAfterMs ?? WEIGHT_RETRY_AFTER_MS
 }
--- a/packages/bendfall-fakes/src/BendfallFakesEngineDecode.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesEngineDecode.ts
@@ -1,6 +1,7 @@
 /**
- * Decode side of the model engine stand-in: import of KV caches into limited
- * memory, and streams of tokens that depend on the prompt only.
+ * Decode side of the model engine stand-in: imports KV caches into limited
+ * memory and streams tokens. The tokens depend on the prompt only, so that tests
+ * can compute the expected output.
  *
  * @module
  */
@@ -21,12 +22,13 @@
 type SourceEnd = Awaited<ReturnType<HttpExchanger['sendForLines']>>
 
 /**
- * Gives the output of the stand-in for a prompt, behind tokens already sent.
+ * Computes the output of the stand-in for a prompt, after any tokens that were
+ * already sent.
  *
  * @param prompt - prompt of the request
- * @param count - number of tokens of the whole output
- * @param resumeTokens - tokens already sent; the next ones depend on the last
- * @returns the tokens behind `resumeTokens`
+ * @param count - number of tokens of the complete output
+ * @param resumeTokens - tokens already sent; each token depends on the one before it
+ * @returns the tokens that follow `resumeTokens`
  */
 export function expectedTokens (prompt: string, count: number, resumeTokens: readonly string[] = []): string[] {
   const tokens = [...resumeTokens]
@@ -39,31 +41,31 @@
 /**
  * Creates the decode side of an engine.
  *
- * @param parts - what the sides of the engine share
+ * @param parts - state shared with the prefill side
  * @returns its routes
  */
 export function createEngineDecodeSide (parts: EngineParts): Routes {
   const { options, ledger, faults } = parts
 
   async function importKv (exchange: Exchange): Promise<JsonReply | undefined> {
-    const ask = exchange.json<EngineImport>()
-    const held = ledger.open(ask, 'decode')
-    if (held === undefined) return failImport('cancelled or running', false)
+    const request = exchange.json<EngineImport>()
+    const held = ledger.open(request, 'decode')
+    if (held === undefined) return importFailure('cancelled or running', false)
     parts.follow(exchange, held)
-    if (!ledger.grow(held, ask.kvBytes)) {
+    if (!ledger.grow(held, request.kvBytes)) {
       ledger.release(held)
-      return failImport('memory full', false)
+      return importFailure('memory full', false)
     }
     if (faults.take('stall_transfer', exchange.path) !== undefined) await once(held.controller.signal, 'abort')
-    const http = createHttpExchanger({ origin: new URL(ask.exportUrl).origin })
+    const http = createHttpExchanger({ origin: new URL(request.exportUrl).origin })
     const end = await http.sendForLines(
-      { method: 'GET', path: new URL(ask.exportUrl).pathname, timeoutMs: SOURCE_IDLE_MS, signal: held.controller.signal },
-      createRelay(exchange, held))
+      { method: 'GET', path: new URL(request.exportUrl).pathname, timeoutMs: SOURCE_IDLE_MS, signal: held.controller.signal },
+      createLineHandler(exchange, held))
     await http.close()
-    return endImport(held, end)
+    return finishImport(held, end)
   }
 
-  function createRelay (exchange: Exchange, held: HeldAttempt): (line: string) => void {
+  function createLineHandler (exchange: Exchange, held: HeldAttempt): (line: string) => void {
     return (text) => {
       const line = JSON.parse(text) as { readonly type: string }
       if (line.type === 'progress') exchange.writeLine(line)
@@ -71,26 +73,26 @@
     }
   }
 
-  async function endImport (held: HeldAttempt, end: SourceEnd): Promise<JsonReply | undefined> {
+  async function finishImport (held: HeldAttempt, end: SourceEnd): Promise<JsonReply | undefined> {
     if (held.imported) return { body: { type: 'done' } }
     ledger.release(held)
-    if (end.isErr()) return failImport(end.error.detail, end.error.kind === 'broken')
-    return failImport('source holds no cache', end.value !== 200)
+    if (end.isErr()) return importFailure(end.error.detail, end.error.kind === 'broken')
+    return importFailure('source holds no cache', end.value !== 200)
   }
 
   async function decode (exchange: Exchange): Promise<JsonReply | undefined> {
-    const ask = exchange.json<EngineDecode>()
-    const held = ledger.find(ask, 'decode')
+    const request = exchange.json<EngineDecode>()
+    const held = ledger.find(request, 'decode')
     if (held?.imported !== true) return { body: { type: 'failed', detail: 'no imported cache' } }
     parts.follow(exchange, held)
-    const newTokens = ask.maxOutputTokens - ask.resumeTokens.length
+    const newTokens = request.maxOutputTokens - request.resumeTokens.length
     if (!ledger.grow(held, newTokens * options.kvBytesPerToken)) {
       ledger.release(held)
       return { body: { type: 'failed', detail: 'memory full' } }
     }
     try {
-      await streamTokens(exchange, ask, held.controller.signal)
-      return { body: { type: 'finished', tokenCount: ask.maxOutputTokens } }
+      await streamTokens(exchange, request, held.controller.signal)
+      return { body: { type: 'finished', tokenCount: request.maxOutputTokens } }
     } catch {
       return { body: { type: 'failed', detail: 'cancelled' } }
     } finally {
@@ -98,11 +100,11 @@
     }
   }
 
-  async function streamTokens (exchange: Exchange, ask: EngineDecode, signal: AbortSignal): Promise<void> {
-    const tokens = expectedTokens(ask.prompt, ask.maxOutputTokens, ask.resumeTokens)
+  async function streamTokens (exchange: Exchange, request: EngineDecode, signal: AbortSignal): Promise<void> {
+    const tokens = expectedTokens(request.prompt, request.maxOutputTokens, request.resumeTokens)
     for (let start = 0; start < tokens.length; start += options.tokensPerStep) {
       await sleep(options.stepMs, undefined, { signal })
-      exchange.writeLine({ type: 'tokens', index: ask.resumeTokens.length + start, tokens: tokens.slice(start, start + options.tokensPerStep) })
+      exchange.writeLine({ type: 'tokens', index: request.resumeTokens.length + start, tokens: tokens.slice(start, start + options.tokensPerStep) })
       if (faults.take('crash_decode', exchange.path) !== undefined) parts.crash()
     }
   }
@@ -110,14 +112,14 @@
   return { 'POST /imports': importKv, 'POST /decode': decode }
 }
 
-function failImport (detail: string, kvLost: boolean): JsonReply {
+function importFailure (detail: string, kvLost: boolean): JsonReply {
   return { body: { type: 'failed', kvLost, detail } }
 }
 
 function hash (text: string): number {
   let value = FNV_OFFSET
-  for (let place = 0; place < text.length; place += 1) {
-    value = Math.imul(value ^ text.charCodeAt(place), FNV_PRIME)
+  for (let position = 0; position < text.length; position += 1) {
+    value = Math.imul(value ^ text.charCodeAt(position), FNV_PRIME)
   }
   return value >>> 0
 }
--- a/packages/bendfall-fakes/src/BendfallFakesEngineLedger.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesEngineLedger.ts
@@ -1,20 +1,21 @@
 /**
- * What a model engine stand-in holds for each attempt.
+ * Tracks the attempts of a model engine stand-in and the KV memory that each of
+ * them holds.
  *
  * @module
  */
 import type { AttemptRef } from 'bendfall-upstream'
 
-/** Reason of an aborted attempt that was lost in a crash. */
+/** Abort reason of an attempt that was lost in a crash. */
 export const CRASH_REASON = 'crash'
 
-const MAX_CANCELLED = 10_000
+const MAX_CANCELLED_ATTEMPTS = 10_000
 const MAX_REQUEST_IDS = 10_000
 
-/** Part of an attempt that runs at an engine. */
+/** Phase of an attempt that runs on an engine. */
 export type AttemptPart = 'decode' | 'prefill'
 
-/** One attempt at the engine. */
+/** An open attempt on the engine. */
 export interface HeldAttempt extends AttemptRef {
   readonly part: AttemptPart
   /** Aborted by a cancel or a crash. */
@@ -28,43 +29,43 @@
 
 /** Memory and attempts of one engine. */
 export interface EngineLedger {
-  /** Opens an attempt; undefined when it is open or was cancelled. */
+  /** Opens an attempt; returns undefined when it is already open or was cancelled. */
   readonly open: (ref: AttemptRef, part: AttemptPart) => HeldAttempt | undefined
   readonly find: (ref: AttemptRef, part: AttemptPart) => HeldAttempt | undefined
-  /** Takes memory; false when there is not enough. */
+  /** Allocates memory for an attempt; returns false when there is not enough. */
   readonly grow: (held: HeldAttempt, kvBytes: number) => boolean
   readonly release: (held: HeldAttempt) => void
-  /** Frees an attempt and refuses its later calls: a cancel may overtake them. */
+  /** Frees an attempt and rejects its later calls, since a cancel may overtake them. */
   readonly cancel: (ref: AttemptRef) => void
   readonly cancelAll: () => void
-  /** Loses everything, as a crash does. */
+  /** Drops all attempts and their memory, as a crash does. */
   readonly crash: () => void
   readonly usedKvBytes: () => number
   readonly view: () => readonly HeldView[]
-  /** Requests for which work ever began, the newest of them. */
+  /** Most recent requests for which any work began. */
   readonly requestIds: () => readonly string[]
 }
 
 /**
  * Creates an empty ledger.
  *
- * @param totalKvBytes - memory of the engine
+ * @param totalKvBytes - KV memory of the engine in bytes
  * @returns the ledger
  */
 export function createEngineLedger (totalKvBytes: number): EngineLedger {
   const attempts = new Map<string, HeldAttempt>()
   const cancelled = new Set<string>()
   const requestIds = new Set<string>()
-  const nameOf = (ref: AttemptRef): string => `${ref.requestId}#${ref.attempt}`
-  const keyOf = (ref: AttemptRef, part: AttemptPart): string => `${part} ${nameOf(ref)}`
+  const attemptKey = (ref: AttemptRef): string => `${ref.requestId}#${ref.attempt}`
+  const partKey = (ref: AttemptRef, part: AttemptPart): string => `${part} ${attemptKey(ref)}`
   const usedKvBytes = (): number => [...attempts.values()].reduce((sum, held) => sum + held.heldKvBytes, 0)
 
   function open (ref: AttemptRef, part: AttemptPart): HeldAttempt | undefined {
-    const key = keyOf(ref, part)
-    if (cancelled.has(nameOf(ref)) || attempts.has(key)) return undefined
+    const key = partKey(ref, part)
+    if (cancelled.has(attemptKey(ref)) || attempts.has(key)) return undefined
     const held = { requestId: ref.requestId, attempt: ref.attempt, part, controller: new AbortController(), heldKvBytes: 0, imported: false }
     attempts.set(key, held)
-    keepNewest(requestIds, ref.requestId, MAX_REQUEST_IDS)
+    addToBoundedSet(requestIds, ref.requestId, MAX_REQUEST_IDS)
     return held
   }
 
@@ -75,38 +76,38 @@
   }
 
   function release (held: HeldAttempt): void {
-    const key = keyOf(held, held.part)
+    const key = partKey(held, held.part)
     if (attempts.get(key) === held) attempts.delete(key)
   }
 
-  function end (held: HeldAttempt, reason?: string): void {
+  function abortAttempt (held: HeldAttempt, reason?: string): void {
     release(held)
     held.controller.abort(reason)
   }
 
   function cancel (ref: AttemptRef): void {
-    keepNewest(cancelled, nameOf(ref), MAX_CANCELLED)
+    addToBoundedSet(cancelled, attemptKey(ref), MAX_CANCELLED_ATTEMPTS)
     for (const part of ['decode', 'prefill'] as const) {
-      const held = attempts.get(keyOf(ref, part))
-      if (held !== undefined) end(held)
+      const held = attempts.get(partKey(ref, part))
+      if (held !== undefined) abortAttempt(held)
     }
   }
 
   return {
     open,
-    find: (ref, part) => attempts.get(keyOf(ref, part)),
+    find: (ref, part) => attempts.get(partKey(ref, part)),
     grow,
     release,
     cancel,
     cancelAll: () => [...attempts.values()].forEach(cancel),
-    crash: () => [...attempts.values()].forEach((held) => end(held, CRASH_REASON)),
+    crash: () => [...attempts.values()].forEach((held) => abortAttempt(held, CRASH_REASON)),
     usedKvBytes,
     requestIds: () => [...requestIds],
     view: () => [...attempts.values()].map(({ requestId, attempt, part, heldKvBytes }) => ({ requestId, attempt, part, heldKvBytes }))
   }
 }
 
-function keepNewest (names: Set<string>, name: string, capacity: number): void {
+function addToBoundedSet (names: Set<string>, name: string, capacity: number): void {
   names.add(name)
   if (names.size > capacity) names.delete(names.values().next().value as string)
 }
--- a/packages/bendfall-fakes/src/BendfallFakesEnginePrefill.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesEnginePrefill.ts
@@ -1,6 +1,7 @@
 /**
- * Prefill side of the model engine stand-in: one prefill at a time by
- * priority, a prefix cache, results that are evicted, and their export.
+ * Prefill side of the model engine stand-in: runs one prefill at a time in order
+ * of priority, simulates a prefix cache, and keeps KV caches for export until they
+ * are evicted.
  *
  * @module
  */
@@ -11,13 +12,13 @@
 
 const MS_PER_SECOND = 1_000
 
-interface KvResult {
+interface StoredKvCache {
   readonly kvBytes: number
   readonly evictsAtMs: number
   exports: number
 }
 
-/** A change of the prefix cache. */
+/** A change of the prefix cache, as `GET /cache-events` returns it. */
 interface CacheEvent {
   readonly sequence: number
   readonly shownAtMs: number
@@ -25,7 +26,7 @@
   readonly prefixHash: string
 }
 
-/** The prefill side. */
+/** Routes and state of the prefill side. */
 export interface EnginePrefillSide {
   readonly routes: Routes
   readonly state: () => Pick<EngineState, 'exports' | 'handles' | 'prefills'>
@@ -35,39 +36,39 @@
 /**
  * Creates the prefill side of an engine.
  *
- * @param parts - what the sides of the engine share
+ * @param parts - state shared with the decode side
  * @returns routes and state
  */
 export function createEnginePrefillSide (parts: EngineParts): EnginePrefillSide {
   const { options, ledger, faults } = parts
-  const takeTurn = createTurns()
+  const acquireSlot = createPrefillQueue()
   const cache = createPrefixCache(options.prefixCacheEntries, options.cacheEventLagMs, options.cacheEventGapEvery)
-  const results = new Map<string, KvResult>()
+  const results = new Map<string, StoredKvCache>()
   let activeExports = 0
   let prefills = 0
   let exports = 0
 
   async function prefill (exchange: Exchange): Promise<JsonReply> {
-    const ask = exchange.json<EnginePrefill>()
-    const held = ledger.open(ask, 'prefill')
+    const request = exchange.json<EnginePrefill>()
+    const held = ledger.open(request, 'prefill')
     if (held === undefined) return { body: { type: 'failed', detail: 'cancelled or running' } }
     parts.follow(exchange, held)
     const { signal } = held.controller
-    const endTurn = await takeTurn(ask.priority, signal)
+    const releaseSlot = await acquireSlot(request.priority, signal)
     try {
-      const cachedTokens = Math.min(cache.lookUp(ask.prefixHashes), ask.promptTokens)
-      await sleep((ask.promptTokens - cachedTokens) / options.prefillTokensPerSecond * MS_PER_SECOND, undefined, { signal })
-      cache.store(ask.prefixHashes, ask.promptTokens)
-      return { body: { type: 'done', cachedTokens, ...keepResult(ask.promptTokens * options.kvBytesPerToken) } }
+      const cachedTokens = Math.min(cache.lookUp(request.prefixHashes), request.promptTokens)
+      await sleep((request.promptTokens - cachedTokens) / options.prefillTokensPerSecond * MS_PER_SECOND, undefined, { signal })
+      cache.store(request.prefixHashes, request.promptTokens)
+      return { body: { type: 'done', cachedTokens, ...storeResult(request.promptTokens * options.kvBytesPerToken) } }
     } catch {
       return { body: { type: 'failed', detail: 'cancelled' } }
     } finally {
-      endTurn()
+      releaseSlot()
       ledger.release(held)
     }
   }
 
-  function keepResult (kvBytes: number): object {
+  function storeResult (kvBytes: number): object {
     prefills += 1
     const handle = `kv-${prefills}`
     results.set(handle, { kvBytes, evictsAtMs: performance.now() + options.evictsInMs, exports: 0 })
@@ -77,7 +78,7 @@
 
   function evict (handle: string): void {
     const result = results.get(handle)
-    // An export that has begun keeps its result until it ends.
+    // A KV cache is kept until its running exports have ended.
     if (result?.exports === 0) results.delete(handle)
   }
 
@@ -85,11 +86,11 @@
     const handle = exchange.path.slice('/kv/'.length)
     const result = results.get(handle)
     if (result === undefined) return { status: 410, body: { type: 'gone' } }
-    const stallsAtBytes = faults.take('stall_transfer', exchange.path) === undefined ? Infinity : result.kvBytes / 2
+    const stallAfterBytes = faults.take('stall_transfer', exchange.path) === undefined ? Infinity : result.kvBytes / 2
     result.exports += 1
     activeExports += 1
     try {
-      await sendAtPace(exchange, result.kvBytes, stallsAtBytes)
+      await streamProgress(exchange, result.kvBytes, stallAfterBytes)
     } finally {
       result.exports -= 1
       activeExports -= 1
@@ -97,7 +98,7 @@
     }
   }
 
-  async function sendAtPace (exchange: Exchange, kvBytes: number, stallsAtBytes: number): Promise<void> {
+  async function streamProgress (exchange: Exchange, kvBytes: number, stallAfterBytes: number): Promise<void> {
     let sentBytes = 0
     let lastMs = performance.now()
     while (sentBytes < kvBytes && !exchange.left.aborted) {
@@ -105,8 +106,8 @@
       const nowMs = performance.now()
       const linkBytes = options.linkBytesPerSecond * (nowMs - lastMs) / MS_PER_SECOND
       lastMs = nowMs
-      if (sentBytes >= stallsAtBytes) continue
-      sentBytes = Math.min(kvBytes, stallsAtBytes, sentBytes + Math.ceil(linkBytes / activeExports))
+      if (sentBytes >= stallAfterBytes) continue
+      sentBytes = Math.min(kvBytes, stallAfterBytes, sentBytes + Math.ceil(linkBytes / activeExports))
       exchange.writeLine({ type: 'progress', transferredBytes: sentBytes })
     }
     if (exchange.left.aborted) return
@@ -128,9 +129,9 @@
   }
 }
 
-type TakeTurn = (priority: number, signal: AbortSignal) => Promise<() => void>
+type AcquireSlot = (priority: number, signal: AbortSignal) => Promise<() => void>
 
-function createTurns (): TakeTurn {
+function createPrefillQueue (): AcquireSlot {
   const waiting: Array<{ readonly priority: number, readonly start: () => void }> = []
   let busy = false
 
@@ -144,9 +145,9 @@
     const waiter = { priority, start: () => resolve(startNext) }
     waiting.push(waiter)
     signal.addEventListener('abort', () => {
-      const place = waiting.indexOf(waiter)
-      if (place === -1) return
-      waiting.splice(place, 1)
+      const index = waiting.indexOf(waiter)
+      if (index === -1) return
+      waiting.splice(index, 1)
       resolve(() => {})
     })
     if (!busy) startNext()
@@ -154,7 +155,7 @@
 }
 
 interface PrefixCache {
-  /** Tokens of the longest cached prefix. */
+  /** Returns the number of tokens of the longest cached prefix. */
   readonly lookUp: (prefixHashes: readonly string[]) => number
   readonly store: (prefixHashes: readonly string[], promptTokens: number) => void
   readonly eventsSince: (sequence: number) => readonly object[]
@@ -166,25 +167,25 @@
   const events: CacheEvent[] = []
   let sequence = 0
 
-  function tell (type: CacheEvent['type'], prefixHash: string): void {
+  function recordEvent (type: CacheEvent['type'], prefixHash: string): void {
     sequence += 1
     if (gapEvery > 0 && sequence % gapEvery === 0) return
     events.push({ sequence, shownAtMs: performance.now() + eventLagMs, type, prefixHash })
   }
 
-  function keep (prefixHash: string, tokens: number): void {
-    if (!tokensByHash.delete(prefixHash)) tell('stored', prefixHash)
+  function storePrefix (prefixHash: string, tokens: number): void {
+    if (!tokensByHash.delete(prefixHash)) recordEvent('stored', prefixHash)
     tokensByHash.set(prefixHash, tokens)
     if (tokensByHash.size <= maxEntries) return
     const oldest = tokensByHash.keys().next().value as string
     tokensByHash.delete(oldest)
-    tell('evicted', oldest)
+    recordEvent('evicted', oldest)
   }
 
   return {
     lookUp: (prefixHashes) => tokensByHash.get(prefixHashes.findLast((hash) => tokensByHash.has(hash)) ?? '') ?? 0,
     store: (prefixHashes, promptTokens) => {
-      prefixHashes.forEach((hash, place) => keep(hash, Math.floor(promptTokens * (place + 1) / prefixHashes.length)))
+      prefixHashes.forEach((hash, index) => storePrefix(hash, Math.floor(promptTokens * (index + 1) / prefixHashes.length)))
     },
     eventsSince: (since) => events.filter((event) => event.sequence > since && event.shownAtMs <= performance.now()),
     clear: () => tokensByHash.clear()
--- a/packages/bendfall-fakes/src/BendfallFakesFaults.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesFaults.ts
@@ -1,77 +1,77 @@
 /**
- * Faults that a stand-in shows on demand.
+ * Faults that can be injected into a stand-in, for a number of times or a period.
  *
  * @module
  */
 
-/** What goes wrong. */
+/** Kinds of faults. */
 export type FaultMode =
-  /** Refused with 503 before anything ran. */
+  /** Rejects a call with 503 before it runs. */
   | 'outage'
-  /** Answered late by `delayMs`. */
+  /** Delays a call by `delayMs`. */
   | 'slow'
-  /** A write takes effect and the connection is cut before the answer. */
+  /** Runs a write and aborts the connection before the response. */
   | 'lose_answer_after_write'
-  /** The work is done and the answer is no JSON. */
+  /** Runs the call and responds with invalid JSON. */
   | 'garbage'
-  /** The work is done and the connection is cut within the answer. */
+  /** Runs the call and aborts the connection in the middle of the response. */
   | 'half_answer'
-  /** A transfer stops moving and stays open. */
+  /** A transfer makes no further progress but stays open. */
   | 'stall_transfer'
-  /** The engine dies in a decode: its memory is empty and streams are cut. */
+  /** The engine crashes during a decode: it loses its memory and aborts all streams. */
   | 'crash_decode'
-  /** A cancel has no effect and its connection is cut. */
+  /** Ignores a cancel and aborts its connection. */
   | 'lose_cancel'
 
-/** A fault to show. Lasts until reset unless it has a count or a duration. */
+/** A fault to inject. It lasts until the faults are cleared, unless it has a count or a duration. */
 export interface Fault {
   readonly mode: FaultMode
-  /** Number of times the fault is shown. */
+  /** Number of calls affected by the fault. */
   readonly count?: number
-  /** Time for which the fault is shown. */
+  /** Time until the fault expires. */
   readonly durationMs?: number
   /** Delay of `slow`. */
   readonly delayMs?: number
-  /** Shows the fault only on paths that start so. */
+  /** Limits the fault to paths with this prefix. */
   readonly pathPrefix?: string
 }
 
-/** The faults in force at one stand-in. */
+/** Active faults of one stand-in. */
 export interface FaultBoard {
   readonly add: (fault: Fault) => void
-  /** Uses up one showing of a fault; undefined when none is in force. */
+  /** Returns an active fault for a path and counts one use of it; undefined when there is none. */
   readonly take: (mode: FaultMode, path: string) => Fault | undefined
   readonly reset: () => void
 }
 
-interface Entry {
+interface ActiveFault {
   readonly fault: Fault
   readonly untilMs: number
-  remaining: number
+  remainingCount: number
 }
 
 /**
- * Creates an empty board.
+ * Creates a fault injector without faults.
  *
- * @returns the board
+ * @returns the fault injector
  */
 export function createFaultBoard (): FaultBoard {
-  let entries: Entry[] = []
+  let active: ActiveFault[] = []
 
   function take (mode: FaultMode, path: string): Fault | undefined {
     const nowMs = performance.now()
-    entries = entries.filter((entry) => entry.remaining > 0 && entry.untilMs > nowMs)
-    const entry = entries.find(({ fault }) => fault.mode === mode && path.startsWith(fault.pathPrefix ?? '/'))
-    if (entry !== undefined) entry.remaining -= 1
+    active = active.filter((entry) => entry.remainingCount > 0 && entry.untilMs > nowMs)
+    const entry = active.find(({ fault }) => fault.mode === mode && path.startsWith(fault.pathPrefix ?? '/'))
+    if (entry !== undefined) entry.remainingCount -= 1
     return entry?.fault
   }
 
   return {
     add: (fault) => {
       const untilMs = performance.now() + (fault.durationMs ?? Infinity)
-      entries.push({ fault, untilMs, remaining: fault.count ?? Infinity })
+      active.push({ fault, untilMs, remainingCount: fault.count ?? Infinity })
     },
     take,
-    reset: () => { entries = [] }
+    reset: () => { active = [] }
   }
 }
--- a/packages/bendfall-fakes/src/BendfallFakesInstances.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesInstances.ts
@@ -1,5 +1,5 @@
 /**
- * Stand-in of the platform's lagging instance list.
+ * Stand-in for the platform's instance list, which shows changes after a lag.
  *
  * @module
  */
@@ -10,49 +10,49 @@
 
 /** Settings of the stand-in. */
 export interface InstanceListOptions extends ListenOptions {
-  /** Instances shown from the start. */
+  /** Initial instances. */
   readonly instances?: readonly InstanceRecord[]
-  /** Time until a change is shown. */
+  /** Delay until a change becomes visible. */
   readonly lagMs?: number
-  /** Whether readings may be conditional and compressed. Default true. */
+  /** Supports conditional requests (`If-None-Match`) and compression. Default true. */
   readonly isConditional?: boolean
 }
 
 /** The running stand-in. */
 export interface InstanceListStandIn extends StandIn {
-  /** Replaces the list; shown after a lag, as `POST /control/instances` does. */
+  /** Replaces the list after a lag, as `POST /control/instances` does. */
   readonly setInstances: (instances: readonly InstanceRecord[], lagMs?: number) => void
 }
 
-interface Change {
+interface ListVersion {
   readonly etag: string
-  readonly shownAtMs: number
+  readonly visibleAtMs: number
   readonly instances: readonly InstanceRecord[]
 }
 
 /**
  * Starts the stand-in.
  *
- * @param options - first instances and lag
+ * @param options - initial instances, lag and where to listen
  * @returns the running stand-in
  * @throws when the port cannot be bound
  */
 export async function createInstanceListStandIn (options: InstanceListOptions = {}): Promise<InstanceListStandIn> {
-  let changes: Change[] = [{ etag: createEtag(), shownAtMs: 0, instances: options.instances ?? [] }]
+  let versions: ListVersion[] = [{ etag: createEtag(), visibleAtMs: 0, instances: options.instances ?? [] }]
 
   function setInstances (instances: readonly InstanceRecord[], lagMs = options.lagMs ?? 0): void {
-    changes.push({ etag: createEtag(), shownAtMs: performance.now() + lagMs, instances })
+    versions.push({ etag: createEtag(), visibleAtMs: performance.now() + lagMs, instances })
   }
 
-  function shown (): Change {
+  function currentVersion (): ListVersion {
     const nowMs = performance.now()
-    const latest = changes.findLastIndex((change) => change.shownAtMs <= nowMs)
-    changes = changes.slice(latest)
-    return changes[0]
+    const latest = versions.findLastIndex((version) => version.visibleAtMs <= nowMs)
+    versions = versions.slice(latest)
+    return versions[0]
   }
 
-  function show (knownEtag: string | undefined): JsonReply {
-    const { etag, instances } = shown()
+  function reply (knownEtag: string | undefined): JsonReply {
+    const { etag, instances } = currentVersion()
     const body = { type: 'listed', instances }
     if (options.isConditional === false) return { body }
     if (knownEtag === etag) return { status: 304, headers: { etag }, body: undefined }
@@ -61,7 +61,7 @@
 
   const standIn = await startServer(options, {
     routes: {
-      'GET /instances': ({ headers }) => show(headers['if-none-match']),
+      'GET /instances': ({ headers }) => reply(headers['if-none-match']),
       'POST /control/instances': (exchange) => {
         const { instances, lagMs } = exchange.json<{ instances: InstanceRecord[], lagMs?: number }>()
         setInstances(instances, lagMs)
