--- a/packages/bendfall-fakes/src/BendfallFakesKeyValueStore.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesKeyValueStore.ts
@@ -1,5 +1,5 @@
 /**
- * In-memory store of the key-value stand-in: revisions, leases and waiters.
+ * In-memory store of the key-value stand-in, with revisions, leases and watches.
  *
  * @module
  */
@@ -10,30 +10,30 @@
   timer: NodeJS.Timeout
 }
 
-/** The store. */
+/** Operations of the store. */
 export interface KeyValueStore {
   readonly get: (key: string) => ReadOutcome
   readonly list: (prefix: string) => ListOutcome
   readonly compareAndSwap: (write: CompareAndSwap) => WriteOutcome
   readonly grantLease: (ttlMs: number) => LeaseOutcome
   readonly renewLease: (leaseId: string) => LeaseOutcome
-  /** Ends a lease and deletes the keys bound to it. */
+  /** Ends a lease and deletes the keys attached to it. */
   readonly endLease: (leaseId: string) => LeaseOutcome
-  /** Resolves at the first change after a revision, or when the wait is over. */
-  readonly watch: (prefix: string, sinceRevision: number, waitMs: number, left: AbortSignal) => Promise<WatchOutcome>
+  /** Resolves at the first change after a revision, when `waitMs` has passed, or when the caller disconnects. */
+  readonly watch: (prefix: string, sinceRevision: number, waitMs: number, disconnected: AbortSignal) => Promise<WatchOutcome>
   readonly close: () => void
 }
 
 /**
  * Creates an empty store.
  *
- * @returns the store; close it to end its timers
+ * @returns the store; close it to stop its timers
  */
 export function createKeyValueStore (): KeyValueStore {
   const entries = new Map<string, KeyValueEntry>()
   const deletions = new Map<string, number>()
   const leases = new Map<string, Lease>()
-  const waiters = new Set<() => void>()
+  const watchers = new Set<() => void>()
   let storeRevision = 0
   let grantedLeases = 0
 
@@ -46,7 +46,7 @@
     return [...entries.values()].filter((entry) => entry.key.startsWith(prefix) && entry.revision > sinceRevision)
   }
 
-  function change (key: string, value: string | null, leaseId: string): void {
+  function applyChange (key: string, value: string | null, leaseId: string): void {
     storeRevision += 1
     if (value === null) {
       entries.delete(key)
@@ -55,25 +55,25 @@
       entries.set(key, { key, value, revision: storeRevision, leaseId })
       deletions.delete(key)
     }
-    for (const wake of [...waiters]) wake()
+    for (const wake of [...watchers]) wake()
   }
 
   function compareAndSwap (write: CompareAndSwap): WriteOutcome {
     const currentRevision = entries.get(write.key)?.revision ?? 0
     if (currentRevision !== write.expectedRevision) return { type: 'conflict', currentRevision }
     if (write.leaseId !== '' && !leases.has(write.leaseId)) return { type: 'unavailable', detail: 'lease lapsed' }
-    if (write.value !== null || currentRevision !== 0) change(write.key, write.value, write.leaseId)
+    if (write.value !== null || currentRevision !== 0) applyChange(write.key, write.value, write.leaseId)
     return { type: 'applied', revision: storeRevision }
   }
 
-  function startTimer (leaseId: string, ttlMs: number): NodeJS.Timeout {
+  function startExpiryTimer (leaseId: string, ttlMs: number): NodeJS.Timeout {
     return setTimeout(() => endLease(leaseId), ttlMs)
   }
 
   function grantLease (ttlMs: number): LeaseOutcome {
     grantedLeases += 1
     const leaseId = `lease-${grantedLeases}`
-    leases.set(leaseId, { ttlMs, timer: startTimer(leaseId, ttlMs) })
+    leases.set(leaseId, { ttlMs, timer: startExpiryTimer(leaseId, ttlMs) })
     return { type: 'granted', leaseId, ttlMs }
   }
 
@@ -87,8 +87,8 @@
   function endLease (leaseId: string): LeaseOutcome {
     clearTimeout(leases.get(leaseId)?.timer)
     leases.delete(leaseId)
-    const bound = [...entries.values()].filter((entry) => entry.leaseId === leaseId)
-    for (const { key } of bound) change(key, null, '')
+    const attached = [...entries.values()].filter((entry) => entry.leaseId === leaseId)
+    for (const { key } of attached) applyChange(key, null, '')
     return { type: 'lapsed' }
   }
 
@@ -99,18 +99,18 @@
     return { type: 'changed', entries: changed, deletedKeys, storeRevision }
   }
 
-  function watch (prefix: string, sinceRevision: number, waitMs: number, left: AbortSignal): Promise<WatchOutcome> {
+  function watch (prefix: string, sinceRevision: number, waitMs: number, disconnected: AbortSignal): Promise<WatchOutcome> {
     return new Promise((resolve) => {
       const timer = setTimeout(finish, waitMs)
       const wake = (): void => { if (changedSince(prefix, sinceRevision).type === 'changed') finish() }
       function finish (): void {
         clearTimeout(timer)
-        waiters.delete(wake)
-        left.removeEventListener('abort', finish)
+        watchers.delete(wake)
+        disconnected.removeEventListener('abort', finish)
         resolve(changedSince(prefix, sinceRevision))
       }
-      waiters.add(wake)
-      left.addEventListener('abort', finish)
+      watchers.add(wake)
+      disconnected.addEventListener('abort', finish)
       wake()
     })
   }
--- a/packages/bendfall-fakes/src/BendfallFakesMain.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesMain.ts
@@ -1,5 +1,5 @@
 /**
- * Runs one stand-in as a process:
+ * Entry point that runs one stand-in as a process:
  * `node dist/BendfallFakesMain.js KIND JSON_OPTIONS`.
  *
  * @module
--- a/packages/bendfall-fakes/src/BendfallFakesParentWatch.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesParentWatch.ts
@@ -1,6 +1,6 @@
 /**
- * Loaded into child processes before their own module: ends them when the
- * process that started them is gone, however it ended.
+ * Preloaded into child processes: exits when the parent process is gone, however
+ * it ended. The end of the parent closes the child's standard input.
  *
  * @module
  */
--- a/packages/bendfall-fakes/src/BendfallFakesPathBench.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesPathBench.ts
@@ -1,6 +1,7 @@
 /**
- * Bench of the real path, across processes on loopback: latency that the
- * system adds to a direct call, and tokens relayed for each second of CPU.
+ * End-to-end bench across processes on loopback (`npm run bench:path`): measures
+ * the latency that bendfall adds to a direct call, and the tokens relayed per
+ * second of CPU time.
  *
  * @module
  */
@@ -25,7 +26,7 @@
 const STREAM_TOKENS = 250
 const STEP_MS = 10
 const RELAY_ROUNDS = 3
-const END_CHARS = 400
+const TAIL_CHARS = 400
 const MS_PER_CPU_TICK = 10
 
 const ENGINE = { prefillTokensPerSecond: 1_000_000, totalKvBytes: 1e15, evictsInMs: 10_000, progressMs: 1, stepMs: STEP_MS }
@@ -53,7 +54,7 @@
   withdrawn: []
 }
 
-/** One way to make a call; resolves to its latency in milliseconds. */
+/** Makes one call, direct or routed; resolves to its latency in milliseconds. */
 type Call = (index: number) => Promise<number>
 
 function engine (instanceId: string, pool: string): UpstreamPlan {
@@ -75,15 +76,15 @@
 
 async function measureService (fleet: Fleet): Promise<void> {
   const direct = urlOf(fleet, 'service-1')
-  const routed = `http://${callersAddress(fleet)}`
-  await compare('plain service, whole answer', () => timeGet(`${direct}/rates/1`), () => timeGet(`${routed}/rates/1`))
+  const routed = `http://${callerAddress(fleet)}`
+  await compare('plain service, complete response', () => timeGet(`${direct}/rates/1`), () => timeGet(`${routed}/rates/1`))
 }
 
 async function timeGet (url: string): Promise<number> {
   const startedAtMs = performance.now()
-  const answer = await request(url)
-  await answer.body.dump()
-  if (answer.statusCode !== 200) throw new Error(`status ${answer.statusCode}`)
+  const response = await request(url)
+  await response.body.dump()
+  if (response.statusCode !== 200) throw new Error(`unexpected status ${response.statusCode}`)
   return performance.now() - startedAtMs
 }
 
@@ -103,9 +104,9 @@
     return firstOutputMs
   }
   const routed: Call = async () => {
-    const answer = await streamChat(callersAddress(fleet), { model: MODEL, prompt: PROMPT, maxTokens: 1, trafficClass: 'interactive', client: CLIENT })
-    if (!answer.whole) throw new Error(answer.refusal)
-    return answer.firstOutputMs
+    const response = await streamChat(callerAddress(fleet), { model: MODEL, prompt: PROMPT, maxTokens: 1, trafficClass: 'interactive', client: CLIENT })
+    if (!response.whole) throw new Error(response.refusal)
+    return response.firstOutputMs
   }
   await compare('chat, first output (prefill, transfer, one step)', direct, routed)
   await Promise.all([prefill.close(), decode.close()])
@@ -123,10 +124,10 @@
     routedMs.push(await routed(index))
   }
   const row = (share: number): string => {
-    const [before, after] = [quantile(directMs, share), quantile(routedMs, share)]
-    return `direct ${before.toFixed(2)} ms, routed ${after.toFixed(2)} ms, added ${(after - before).toFixed(2)} ms`
+    const [baselineMs, viaRouterMs] = [quantile(directMs, share), quantile(routedMs, share)]
+    return `direct ${baselineMs.toFixed(2)} ms, routed ${viaRouterMs.toFixed(2)} ms, added ${(viaRouterMs - baselineMs).toFixed(2)} ms`
   }
-  console.log(`${name} (${MEASURED_CALLS} calls each, in turn)\n  p50: ${row(0.5)}\n  p99: ${row(0.99)}`)
+  console.log(`${name} (${MEASURED_CALLS} calls each, alternating)\n  p50: ${row(0.5)}\n  p99: ${row(0.99)}`)
 }
 
 function quantile (values: readonly number[], share: number): number {
@@ -139,7 +140,7 @@
   const sidecars = fleet.sidecars.filter(({ record }) => record.pool === 'decode').map(({ process }) => process)
   const before = await Promise.all([cpuMs(entries), cpuMs(sidecars)])
   const startedAtMs = performance.now()
-  const outcomes = await Promise.all(Array.from({ length: STREAMS }, () => drainStream(callersAddress(fleet))))
+  const outcomes = await Promise.all(Array.from({ length: STREAMS }, () => drainStream(callerAddress(fleet))))
   const wallMs = performance.now() - startedAtMs
   const after = await Promise.all([cpuMs(entries), cpuMs(sidecars)])
   const refusals = outcomes.filter((outcome) => outcome !== '')
@@ -147,28 +148,28 @@
   const perCpuSecond = (usedMs: number): number => Math.round(tokens / usedMs * 1_000)
   const [entryMs, sidecarsMs] = [after[0] - before[0], after[1] - before[1]]
   console.log(`relay, round ${round}: ${tokens} tokens, ${STREAMS} streams of one token every ${STEP_MS} ms, ${Math.round(tokens / wallMs * 1_000)} tokens/s`)
-  console.log(`  tokens a CPU second: entry ${perCpuSecond(entryMs)}, sidecars ${perCpuSecond(sidecarsMs)}, both together ${perCpuSecond(entryMs + sidecarsMs)}`)
-  if (refusals.length > 0) console.log(`  ${refusals.length} of ${STREAMS} not answered, the first: ${refusals[0]}`)
+  console.log(`  tokens per CPU second: entry ${perCpuSecond(entryMs)}, sidecars ${perCpuSecond(sidecarsMs)}, combined ${perCpuSecond(entryMs + sidecarsMs)}`)
+  if (refusals.length > 0) console.log(`  ${refusals.length} of ${STREAMS} streams failed, the first with: ${refusals[0]}`)
 }
 
-/** Reads a stream to its end; returns what a stream that was not whole ended with. */
+/** Reads a stream to its end; returns an empty text on success, otherwise the status and the last characters received. */
 async function drainStream (address: string): Promise<string> {
-  const answer = await request(`http://${address}/v1/chat/completions`, {
+  const response = await request(`http://${address}/v1/chat/completions`, {
     method: 'POST',
     headers: { 'content-type': 'application/json', 'bendfall-class': 'summary' },
     body: JSON.stringify({ model: MODEL, messages: [{ role: 'user', content: PROMPT }], max_tokens: STREAM_TOKENS, stream: true })
   })
-  let end = ''
-  for await (const chunk of answer.body) end = `${end}${chunk}`.slice(-END_CHARS)
-  return end.includes('[DONE]') ? '' : `${answer.statusCode} ${end}`
+  let tail = ''
+  for await (const chunk of response.body) tail = `${tail}${chunk}`.slice(-TAIL_CHARS)
+  return tail.includes('[DONE]') ? '' : `${response.statusCode} ${tail}`
 }
 
 async function cpuMs (processes: readonly ListeningProcess[]): Promise<number> {
   const times = await Promise.all(processes.map(({ pid }) => readCpuMs(pid)))
-  return times.reduce((sum, one) => sum + one, 0)
+  return times.reduce((sum, timeMs) => sum + timeMs, 0)
 }
 
-// Fields 14 and 15 of the file: user and system time of the process in ticks.
+// Fields 14 and 15 of the file are the user and system time of the process in clock ticks.
 async function readCpuMs (pid: number): Promise<number> {
   const stat = await readFile(`/proc/${pid}/stat`, 'utf8')
   const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ')
@@ -179,7 +180,7 @@
   return fleet.upstreams.get(instanceId)?.listening.url ?? ''
 }
 
-function callersAddress (fleet: Fleet): string {
+function callerAddress (fleet: Fleet): string {
   return fleet.entries[0].process.listening.callers
 }
 
--- a/packages/bendfall-fakes/src/BendfallFakesServer.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesServer.ts
@@ -1,6 +1,6 @@
 /**
- * HTTP server that all stand-ins share: a table of routes, JSON in and out,
- * streams of JSON lines, and faults on demand.
+ * HTTP server of all stand-ins: routes requests, reads and writes JSON, streams
+ * JSON lines, and injects faults.
  *
  * @module
  */
@@ -13,72 +13,73 @@
 import type { Fault, FaultBoard } from './BendfallFakesFaults.js'
 
 const DEFAULT_SLOW_MS = 1_000
-const GARBAGE = '{"type": garb'
+const INVALID_JSON = '{"type": garb'
 
-/** Where a stand-in listens. */
+/** Address on which a stand-in listens. */
 export interface ListenOptions {
+  /** Default `127.0.0.1`. */
   readonly host?: string
-  /** 0 takes a free port. */
+  /** 0, the default, chooses a free port. */
   readonly port?: number
 }
 
 /** A running stand-in. */
 export interface StandIn {
   readonly url: string
-  /** Shows a fault, as `POST /control/fail` does. */
+  /** Injects a fault, as `POST /control/fail` does. */
   readonly fail: (fault: Fault) => void
-  /** Ends all faults, as `POST /control/reset` does. */
+  /** Clears all faults, as `POST /control/reset` does. */
   readonly reset: () => void
   readonly close: () => Promise<void>
 }
 
-/** One request as a handler sees it. */
+/** A request and its connection, as a route handler sees them. */
 export interface Exchange {
   readonly method: string
   readonly path: string
   readonly query: URLSearchParams
   readonly headers: IncomingMessage['headers']
   readonly body: Buffer
-  /** Body as JSON; an empty object when there is none. */
+  /** Parses the body as JSON; returns an empty object when there is none. */
   readonly json: <T>() => T
-  /** Aborted when the caller's connection closes before the answer's end. */
+  /** Aborted when the caller's connection closes before the end of the response. */
   readonly left: AbortSignal
-  /** Writes one line of a streamed answer. */
+  /** Writes one JSON line of a streamed response. */
   readonly writeLine: (line: object) => void
-  /** Cuts the connection without a further byte. */
+  /** Closes the connection at once, without completing the response. */
   readonly cut: () => void
 }
 
-/** JSON answer of a handler, or last line of its stream; undefined for none. */
+/** JSON response of a handler, or the last line of its stream. */
 export interface JsonReply {
   readonly status?: number
   readonly headers?: Readonly<Record<string, string>>
-  /** Compressed when the caller accepts it. */
+  /** Compresses the body when the caller accepts gzip. */
   readonly isCompressible?: boolean
-  /** Undefined for an empty body. */
+  /** Content of the body; undefined for an empty one. */
   readonly body: unknown
 }
 
-/** Handles one route. */
+/** Handles a request; undefined ends the response without a body or a last line. */
 export type RouteHandler = (exchange: Exchange) => JsonReply | undefined | Promise<JsonReply | undefined>
 
-/** Handlers by `METHOD /path`. */
+/** Handlers by `METHOD /path`; `METHOD /path/*` matches any last segment. */
 export type Routes = Readonly<Record<string, RouteHandler>>
 
-/** What a stand-in serves. */
+/** Behavior of a stand-in's server. */
 export interface ServerParts {
   readonly routes: Routes
-  /** Handles what no route matches. */
+  /** Handles requests that match no route; the default responds with 404. */
   readonly fallback?: RouteHandler
   readonly faults?: FaultBoard
   readonly onClose?: () => void
 }
 
 /**
- * Starts a server.
+ * Starts the server of a stand-in.
  *
- * @param options - where to listen
- * @param parts - routes and faults
+ * @param options - address to listen on
+ * @param parts - routes, fallback, faults and a callback for the close
  * @returns the running stand-in
  * @throws when the port cannot be bound
  */
@@ -87,7 +88,7 @@
   const faults = parts.faults ?? createFaultBoard()
   const routes: Routes = { ...parts.routes, ...controlRoutes(faults) }
   const server = createServer((request, response) => {
-    answer(request, response, routes, parts.fallback ?? notFound, faults).catch(() => response.destroy())
+    respond(request, response, routes, parts.fallback ?? notFound, faults).catch(() => response.destroy())
   })
   await new Promise<void>((resolve, reject) => {
     server.once('error', reject)
@@ -122,16 +123,16 @@
   return { status: 404, body: { type: 'not_found', path: exchange.path } }
 }
 
-async function answer (request: IncomingMessage, response: ServerResponse, routes: Routes, fallback: RouteHandler, faults: FaultBoard): Promise<void> {
+async function respond (request: IncomingMessage, response: ServerResponse, routes: Routes, fallback: RouteHandler, faults: FaultBoard): Promise<void> {
   const exchange = await readExchange(request, response, faults)
   const handler = findHandler(routes, exchange) ?? fallback
   const isControl = exchange.path.startsWith('/control/')
-  const reply = isControl ? await handler(exchange) : await handleUnderFaults(exchange, handler, faults)
+  const reply = isControl ? await handler(exchange) : await handleWithFaults(exchange, handler, faults)
   if (reply !== undefined) sendReply(response, reply, exchange, isControl ? undefined : faults)
   else response.end()
 }
 
-async function handleUnderFaults (exchange: Exchange, handler: RouteHandler, faults: FaultBoard): Promise<JsonReply | undefined> {
+async function handleWithFaults (exchange: Exchange, handler: RouteHandler, faults: FaultBoard): Promise<JsonReply | undefined> {
   const slow = faults.take('slow', exchange.path)
   if (slow !== undefined) await sleep(slow.delayMs ?? DEFAULT_SLOW_MS, undefined, { ref: false })
   if (faults.take('outage', exchange.path) !== undefined) {
@@ -156,11 +157,11 @@
     return
   }
   const isGarbage = faults?.take('garbage', exchange.path) !== undefined
-  const text = isGarbage ? GARBAGE : JSON.stringify(reply.body) ?? ''
-  const isZipped = reply.isCompressible === true && String(exchange.headers['accept-encoding']).includes('gzip')
-  const bytes = isZipped ? gzipSync(text) : Buffer.from(text)
-  const headers = { ...reply.headers, ...isZipped && { 'content-encoding': 'gzip' } }
-  // A 304 cannot carry garbage.
+  const text = isGarbage ? INVALID_JSON : JSON.stringify(reply.body) ?? ''
+  const isCompressed = reply.isCompressible === true && String(exchange.headers['accept-encoding']).includes('gzip')
+  const bytes = isCompressed ? gzipSync(text) : Buffer.from(text)
+  const headers = { ...reply.headers, ...isCompressed && { 'content-encoding': 'gzip' } }
+  // A 304 response has no body that could be invalid JSON.
   const status = isGarbage && reply.body === undefined ? 200 : reply.status ?? 200
   response.writeHead(status, { 'content-type': 'application/json', 'content-length': bytes.length, ...headers })
   if (faults?.take('half_answer', exchange.path) === undefined) {
@@ -172,9 +173,9 @@
 
 async function readExchange (request: IncomingMessage, response: ServerResponse, faults: FaultBoard): Promise<Exchange> {
   const url = new URL(request.url ?? '/', 'http://stand-in')
-  const left = new AbortController()
+  const disconnected = new AbortController()
   response.once('close', () => {
-    if (!response.writableFinished) left.abort()
+    if (!response.writableFinished) disconnected.abort()
   })
   const chunks: Buffer[] = []
   for await (const chunk of request as AsyncIterable<Buffer>) chunks.push(chunk)
@@ -186,7 +187,7 @@
     headers: request.headers,
     body,
     json: <T>() => JSON.parse(body.length === 0 ? '{}' : body.toString('utf8')) as T,
-    left: left.signal,
+    left: disconnected.signal,
     writeLine: (line) => writeLine(response, url.pathname, line, faults),
     cut: () => { response.destroy() }
   }
@@ -196,7 +197,7 @@
   if (response.destroyed) return
   if (!response.headersSent) response.writeHead(200, { 'content-type': 'application/x-ndjson' })
   const isGarbage = faults.take('garbage', path) !== undefined
-  const text = isGarbage ? GARBAGE : JSON.stringify(line)
+  const text = isGarbage ? INVALID_JSON : JSON.stringify(line)
   if (faults.take('half_answer', path) === undefined) response.write(`${text}\n`)
   else response.write(text.slice(0, text.length / 2), () => response.destroy())
 }
--- a/packages/bendfall-fakes/src/BendfallFakesService.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesService.ts
@@ -1,5 +1,6 @@
 /**
- * Stand-in of a plain service that counts how often each call ran.
+ * Stand-in for a plain service that counts how often each call ran, so that tests
+ * can detect lost and repeated runs.
  *
  * @module
  */
@@ -9,29 +10,29 @@
 
 /** Settings of the stand-in. */
 export interface ServiceOptions extends ListenOptions {
-  /** Time from the run of a call to its answer. */
+  /** Delay between the run of a call and its response. */
   readonly latencyMs?: number
 }
 
-/** Number of runs; a call counts as run once it was read whole. */
+/** Numbers of runs; a call counts as run once its request was read completely. */
 export interface ServiceRuns {
   readonly total: number
-  /** By value of the `Idempotency-Key` header. */
+  /** Runs by value of the `Idempotency-Key` header. */
   readonly byKey: Readonly<Record<string, number>>
-  /** By `METHOD /path`. */
+  /** Runs by `METHOD /path`. */
   readonly byPath: Readonly<Record<string, number>>
 }
 
 /** The running stand-in. */
 export interface ServiceStandIn extends StandIn {
-  /** Runs so far, as `GET /control/runs` shows them. */
+  /** Returns the numbers of runs, as `GET /control/runs` does. */
   readonly runs: () => ServiceRuns
 }
 
 /**
  * Starts the stand-in.
  *
- * @param options - latency
+ * @param options - latency and where to listen
  * @returns the running stand-in
  * @throws when the port cannot be bound
  */
--- a/packages/bendfall-fakes/src/BendfallFakesWeightStore.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesWeightStore.ts
@@ -1,5 +1,6 @@
 /**
- * Stand-in of the rate-limited weight store.
+ * Stand-in for the weight store, which limits the rate and the number of
+ * concurrent loads.
  *
  * @module
  */
@@ -14,24 +15,24 @@
 
 /** Settings of the stand-in. */
 export interface WeightStoreOptions extends ListenOptions {
-  /** Rate of one load. */
+  /** Bandwidth of one load. */
   readonly bytesPerSecond?: number
-  /** Loads at once; further ones are refused with 429. */
+  /** Maximum number of concurrent loads; further ones are rejected with 429. */
   readonly maxLoads?: number
   readonly retryAfterMs?: number
 }
 
 /** The running stand-in. */
 export interface WeightStoreStandIn extends StandIn {
-  /** Finished and refused loads, as `GET /control/loads` shows them. */
+  /** Returns the numbers of completed and rejected loads, as `GET /control/loads` does. */
   readonly loads: () => { readonly done: number, readonly refused: number }
 }
 
 /**
- * Starts the stand-in. `GET /weights/<model>?bytes=N` answers once the weights
- * would have come; the bytes themselves are not sent.
+ * Starts the stand-in. `GET /weights/<model>?bytes=N` responds after the time that
+ * the transfer of the weights would take; the bytes themselves are not sent.
  *
- * @param options - rate and limits
+ * @param options - bandwidth, limits and where to listen
  * @returns the running stand-in
  * @throws when the port cannot be bound
  */
