--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityConfig.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityConfig.ts
@@ -1,5 +1,6 @@
 /**
- * Slopes over the size of the configuration.
+ * Measures how the cost of the configuration grows with its size: bytes, parse
+ * time, memory and merge patches.
  *
  * @module
  */
@@ -15,7 +16,7 @@
 const CLIENT_COUNTS = [165, 330, 660]
 const ZONE_COUNTS = [6, 12, 24]
 const ASSIGNMENT_COUNTS = [1_500, 3_000, 6_000, 12_000]
-const TURNS = 5
+const ITERATIONS = 5
 
 function textOf (part: Partial<ConfigSize>): string {
   return JSON.stringify(createConfig(1, { ...EMPTY, ...part }))
@@ -28,7 +29,7 @@
 function parsePoints (): ReadonlyArray<{ readonly size: number, readonly value: number }> {
   return ASSIGNMENT_COUNTS.map((assignments) => {
     const text = textOf({ assignments })
-    return { size: text.length, value: timeUs(() => () => { for (let turn = 0; turn < TURNS; turn++) decodeConfig(text) }) / TURNS }
+    return { size: text.length, value: timeUs(() => () => { for (let iteration = 0; iteration < ITERATIONS; iteration++) decodeConfig(text) }) / ITERATIONS }
   })
 }
 
@@ -38,40 +39,41 @@
 
 function patchMadeUs (assignments: number): number {
   const [base, current] = [1, 2].map((version) => createConfig(version, { ...FULL_CONFIG, assignments }))
-  return timeUs(() => () => { for (let turn = 0; turn < TURNS; turn++) diffConfig(base, current) }) / TURNS
+  return timeUs(() => () => { for (let iteration = 0; iteration < ITERATIONS; iteration++) diffConfig(base, current) }) / ITERATIONS
 }
 
 function patchAppliedUs (assignments: number): number {
   const base = createConfig(1, { ...FULL_CONFIG, assignments })
   const [instanceId] = Object.keys(base.assignments)
   const patch = JSON.stringify(diffConfig(base, { ...base, version: 2, assignments: { ...base.assignments, [instanceId]: 'another' } }))
-  return timeUs(() => () => { for (let turn = 0; turn < TURNS; turn++) patchConfig(base, JSON.parse(patch)) }) / TURNS
+  return timeUs(() => () => { for (let iteration = 0; iteration < ITERATIONS; iteration++) patchConfig(base, JSON.parse(patch)) }) / ITERATIONS
 }
 
-/** Slopes over the size of the configuration. */
+/** Measurements over the size of the configuration. */
 export const CONFIG_SLOPES = {
   clientBytes: { name: 'configuration, JSON', unit: 'B', per: 'client', measure: () => pointsAt(CLIENT_COUNTS, (clients) => textOf({ clients }).length) },
   linkBytes: { name: 'configuration, JSON', unit: 'B', per: 'link of two zones', measure: () => linkPoints((availabilityZones) => textOf({ availabilityZones }).length) },
   assignmentBytes: { name: 'configuration, JSON', unit: 'B', per: 'assignment', measure: () => pointsAt(ASSIGNMENT_COUNTS, (assignments) => textOf({ assignments }).length) },
-  parseUs: { name: 'configuration, parsed and checked', unit: 'µs', per: 'byte', measure: parsePoints },
+  parseUs: { name: 'configuration, parsing and validation', unit: 'µs', per: 'byte', measure: parsePoints },
   keptBytes: { name: 'configuration in state', unit: 'B', per: 'assignment', measure: () => pointsAt(ASSIGNMENT_COUNTS, keptBytes) },
-  patchMadeUs: { name: 'merge patch made', unit: 'µs', per: 'assignment', measure: () => pointsAt(ASSIGNMENT_COUNTS, patchMadeUs) },
-  patchAppliedUs: { name: 'merge patch read and applied', unit: 'µs', per: 'assignment', measure: () => pointsAt(ASSIGNMENT_COUNTS, patchAppliedUs) }
+  patchMadeUs: { name: 'merge patch, creation', unit: 'µs', per: 'assignment', measure: () => pointsAt(ASSIGNMENT_COUNTS, patchMadeUs) },
+  patchAppliedUs: { name: 'merge patch, parsing and application', unit: 'µs', per: 'assignment', measure: () => pointsAt(ASSIGNMENT_COUNTS, patchAppliedUs) }
 } satisfies Readonly<Record<string, SlopeCase>>
 
-/** Sizes of a configuration at the size to design for. */
+/** Sizes in bytes of the configuration at the target size, as JSON. */
 export interface ConfigBytes {
+  /** The complete configuration. */
   readonly whole: number
-  /** What a process hands over after one client was changed. */
+  /** The merge patch that a process sends after a change of one client. */
   readonly clientPatch: number
-  /** The same after one instance was assigned to a pool. */
+  /** The merge patch after the assignment of one instance to a pool. */
   readonly assignmentPatch: number
 }
 
 /**
- * Measures the configuration of the size to design for.
+ * Measures the configuration of the target size.
  *
- * @returns bytes
+ * @returns sizes in bytes
  */
 export function measureConfig (): ConfigBytes {
   const config = createConfig(1, FULL_CONFIG)
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityFacts.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityFacts.ts
@@ -1,5 +1,6 @@
 /**
- * All that was measured, and what the code says of its own periods.
+ * Runs all measurements and collects them with the intervals and constants of the
+ * code.
  *
  * @module
  */
@@ -21,12 +22,12 @@
 import { WIRE_SLOPES, measureWire } from './BendfallFakesCapacityWire.js'
 import type { WireBytes } from './BendfallFakesCapacityWire.js'
 
-/** A slope with its points. */
+/** A measurement with the line fitted to its points. */
 export interface MeasuredSlope extends MeasuredPoints {
   readonly line: Line
 }
 
-/** Measured lines and constants, by where they come from. */
+/** Fitted lines and constants, by source. */
 export interface Facts {
   readonly entry: Lines<keyof typeof ENTRY_SLOPES>
   readonly members: Lines<keyof typeof MEMBER_SLOPES>
@@ -40,31 +41,31 @@
   readonly constants: EntryConstants
   readonly timings: TimingSettings
   readonly homeCandidates: number
-  /** Resident memory of a process that has loaded the packages. */
+  /** Resident memory in bytes of a process that has only loaded the packages. */
   readonly baseBytes: number
 }
 
-/** Facts with the slopes they came from. */
+/** Facts, and the measurements that they come from. */
 export interface Measured {
   readonly facts: Facts
   readonly slopes: readonly MeasuredSlope[]
 }
 
 /**
- * Measures everything.
+ * Runs all measurements.
  *
  * @param baseBytes - resident memory before the first measurement
- * @returns facts and slopes
+ * @returns the facts and the measurements behind them
  */
 export async function measureFacts (baseBytes: number): Promise<Measured> {
   const slopes: MeasuredSlope[] = []
-  const keep = (one: MeasuredPoints): Line => {
-    const line = fitLine(one.points)
-    slopes.push({ ...one, line })
+  const fitAndRecord = (measured: MeasuredPoints): Line => {
+    const line = fitLine(measured.points)
+    slopes.push({ ...measured, line })
     return line
   }
   const measure = <Name extends string>(cases: Readonly<Record<Name, SlopeCase>>): Lines<Name> =>
-    mapValues(cases, (one) => keep({ ...one, points: one.measure() }))
+    mapValues(cases, (slopeCase) => fitAndRecord({ ...slopeCase, points: slopeCase.measure() }))
   const facts: Facts = {
     entry: measure(ENTRY_SLOPES),
     members: measure(MEMBER_SLOPES),
@@ -72,7 +73,7 @@
     home: measure(HOME_SLOPES),
     config: measure(CONFIG_SLOPES),
     wire: measure(WIRE_SLOPES),
-    loopback: mapValues(await measureLoopback(), keep),
+    loopback: mapValues(await measureLoopback(), fitAndRecord),
     wireBytes: measureWire(),
     configBytes: measureConfig(),
     constants: readEntryConstants(),
@@ -83,8 +84,8 @@
   return { facts, slopes }
 }
 
-function mapValues<Name extends string, From, To> (from: Readonly<Record<Name, From>>, change: (value: From) => To): Readonly<Record<Name, To>> {
-  const entries = Object.entries<From>(from).map(([name, value]) => [name, change(value)] as const)
+function mapValues<Name extends string, From, To> (record: Readonly<Record<Name, From>>, transform: (value: From) => To): Readonly<Record<Name, To>> {
+  const entries = Object.entries<From>(record).map(([name, value]) => [name, transform(value)] as const)
   return Object.fromEntries(entries) as Record<Name, To>
 }
 
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityFit.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityFit.ts
@@ -1,10 +1,11 @@
 /**
- * Straight lines through measured points, and arithmetic with their errors.
+ * Fits straight lines to measured points, and propagates the standard errors
+ * through sums and products.
  *
  * @module
  */
 
-/** One measurement: a value at a size. */
+/** A value measured at one size. */
 export interface Point {
   readonly size: number
   readonly value: number
@@ -18,15 +19,15 @@
 
 /** A fitted line: `value = intercept + slope * size`. */
 export interface Line {
-  /** Change of the value for one more of the size. */
+  /** Change of the value per unit of size. */
   readonly slope: Estimate
   /** Value of the line at size 0. */
   readonly intercept: number
   /**
-   * Reads the line.
+   * Evaluates the line.
    *
-   * @param size - where
-   * @returns the value of the line with its standard error
+   * @param size - any size, also outside the measured ones
+   * @returns the value of the line at that size with its standard error
    */
   readonly at: (size: number) => Estimate
 }
@@ -37,13 +38,13 @@
 /**
  * Fits a line by least squares.
  *
- * @param points - at least three points of at least two sizes
- * @returns the line
- * @throws RangeError when there are too few points
+ * @param points - at least three points of at least two different sizes
+ * @returns the fitted line
+ * @throws RangeError when there are fewer than three points, or all have the same size
  */
 export function fitLine (points: readonly Point[]): Line {
   const count = points.length
-  if (count < MIN_POINTS) throw new RangeError(`${count} points do not make a line with an error`)
+  if (count < MIN_POINTS) throw new RangeError(`cannot fit a line with a standard error to ${count} points`)
   const meanSize = meanOf(points.map(({ size }) => size))
   const meanValue = meanOf(points.map(({ value }) => value))
   const sizeSquares = sumOf(points.map(({ size }) => (size - meanSize) ** 2))
@@ -63,19 +64,19 @@
 }
 
 /**
- * Makes an estimate that is exact.
+ * Creates an estimate without error.
  *
- * @param value - the figure
- * @returns the estimate, without error
+ * @param value - an exact figure
+ * @returns the estimate
  */
 export function exactly (value: number): Estimate {
   return { value, error: 0 }
 }
 
 /**
- * Multiplies an estimate.
+ * Multiplies an estimate by a factor.
  *
- * @param estimate - the figure
+ * @param estimate - figure with its standard error
  * @param factor - an exact factor
  * @returns the product
  */
@@ -86,8 +87,8 @@
 /**
  * Adds independent estimates.
  *
- * @param estimates - figures of one unit
- * @returns the sum; the errors add as squares
+ * @param estimates - figures in the same unit
+ * @returns the sum; its error is the root of the sum of squared errors
  */
 export function plus (...estimates: readonly Estimate[]): Estimate {
   return {
@@ -97,10 +98,10 @@
 }
 
 /**
- * Finds the middle of some values.
+ * Returns the median.
  *
- * @param values - at least one
- * @returns the median; the upper one of an even number
+ * @param values - at least one value
+ * @returns the median; for an even number of values the upper one of the middle two
  */
 export function medianOf (values: readonly number[]): number {
   return [...values].sort((one, other) => one - other)[values.length >> 1]
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityFleet.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityFleet.ts
@@ -1,5 +1,6 @@
 /**
- * Instance lists, configurations and processes of any size.
+ * Creates instance lists and configurations of any size, and reducers of entries
+ * and sidecars to measure with them.
  *
  * @module
  */
@@ -12,21 +13,21 @@
 const ADDRESS_BYTE = 256
 const SELF_ID = 'i-ffffffffffffffff'
 
-/** How large a configuration is. */
+/** Number of elements of each kind in a configuration. */
 export interface ConfigSize {
   readonly clients: number
   readonly availabilityZones: number
   readonly assignments: number
 }
 
-/** The configuration of the size to design for. */
+/** Size of the configuration at the target size. */
 export const FULL_CONFIG: ConfigSize = {
   clients: SIZE.clients,
   availabilityZones: SIZE.availabilityZones,
   assignments: SIZE.replicas * ASSUMED.assignedShare
 }
 
-/** Load of a busy replica, whatever its role. */
+/** Load of a busy replica, with the fields of both roles. */
 export const LOAD: LoadView = {
   freeKvBytes: 12_345_678_901,
   totalKvBytes: 123_456_789_012,
@@ -40,22 +41,22 @@
   configVersion: 54_321
 }
 
-/** What a decode sidecar tells of it. */
+/** The part of the load that a decode sidecar reports. */
 export const DECODE_LOAD: LoadView = { ...LOAD, queuedPrefillTokens: 0, urgentPrefillTokens: 0, prefillTokensPerSecond: 0 }
 
-/** What a prefill sidecar tells of it. */
+/** The part of the load that a prefill sidecar reports. */
 export const PREFILL_LOAD: LoadView = { ...LOAD, freeKvBytes: 0, totalKvBytes: 0, stepMs: 0, readyInMs: 0 }
 
-/** A process driven by events alone. */
+/** The reducer of a process with its state, without runtime or network. */
 export interface Driven {
   readonly getState: () => State
   readonly send: (event: Event) => readonly Effect[]
 }
 
 /**
- * Names a model.
+ * Returns the name of a model.
  *
- * @param index - its number
+ * @param index - number of the model from 0
  * @returns the name
  */
 export function modelName (index: number): string {
@@ -63,9 +64,10 @@
 }
 
 /**
- * Names a pool; pools of even number prefill, the others decode.
+ * Returns the name of a pool. Pools with even numbers are prefill pools, the others
+ * decode pools.
  *
- * @param index - its number
+ * @param index - number of the pool from 0
  * @returns the name
  */
 export function poolName (index: number): string {
@@ -74,11 +76,12 @@
 }
 
 /**
- * Makes upstreams spread evenly over pools and availability zones.
+ * Creates records of upstreams, distributed evenly over pools and availability
+ * zones.
  *
  * @param count - number of instances
  * @param pools - number of pools
- * @returns the records, as the instance list shows them
+ * @returns the records, as in the instance list
  */
 export function createInstances (count: number, pools: number = DERIVED.pools): readonly InstanceRecord[] {
   return Array.from({ length: count }, (_, index) => ({
@@ -92,10 +95,10 @@
 }
 
 /**
- * Makes a configuration.
+ * Creates a configuration.
  *
- * @param version - its version
- * @param size - how large
+ * @param version - version of the configuration
+ * @param size - number of clients, availability zones and assignments
  * @returns the configuration
  */
 export function createConfig (version: number, size: ConfigSize): Config {
@@ -114,11 +117,11 @@
 }
 
 /**
- * Makes an entry or a sidecar that has just started.
+ * Creates the reducer of an entry or a sidecar that has just started.
  *
- * @param role - its role
- * @param pool - pool of a sidecar
- * @returns the process
+ * @param role - role of the process
+ * @param pool - pool of a sidecar; empty for an entry
+ * @returns the reducer and its state
  */
 export function drive (role: 'entry' | 'sidecar', pool = ''): Driven {
   const reduce = createBendfallReducer()
@@ -134,24 +137,25 @@
 }
 
 /**
- * Finds the only effect of a type.
+ * Finds the first effect of a type.
  *
- * @param effects - effects of a step
- * @param type - the type
+ * @param effects - effects of one reducer step
+ * @param type - type of the effect
  * @returns the effect
  * @throws Error when there is none
  */
 export function effectOf<T extends EffectType> (effects: readonly Effect[], type: T): EffectOf<T> {
   const found = effects.find((effect) => effect.type === type)
-  if (found === undefined) throw new Error(`no effect ${type}`)
+  if (found === undefined) throw new Error(`the step has no effect of type ${type}`)
   return found as EffectOf<T>
 }
 
 /**
- * Makes flat text of which each character is held once.
+ * Creates a flat string, not a concatenation of parts, so that each character is
+ * held in memory once.
  *
- * @param length - characters
- * @param mark - makes the text differ from others
+ * @param length - number of characters
+ * @param mark - number that distinguishes the text from others
  * @returns ASCII text
  */
 export function flatText (length: number, mark: number): string {
@@ -159,10 +163,10 @@
 }
 
 /**
- * Lists the numbers below one.
+ * Returns a range of numbers.
  *
- * @param count - how many
- * @returns 0 up to `count - 1`
+ * @param count - length of the range
+ * @returns the numbers from 0 to `count - 1`
  */
 export function numbers (count: number): readonly number[] {
   return Array.from({ length: count }, (_, index) => index)
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityLoopback.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityLoopback.ts
@@ -1,6 +1,6 @@
 /**
- * Slopes of the real transport: an entry's side in this process, sidecars in
- * another one, HTTP/2 over loopback between them.
+ * Measures the real transport: HTTP/2 over loopback between an entry in this
+ * process and sidecars in a child process.
  *
  * @module
  */
@@ -24,15 +24,15 @@
 const REQUEST_COUNTS = [50, 100, 200]
 const TOKEN_COUNTS = [1_000, 2_000, 4_000]
 const CONNECTION_COUNTS = [50, 100, 200]
-/** Streams that one sidecar has for one entry at full size. */
+/** Number of streams between one sidecar and one entry at the target size. */
 const STREAMS = 2
 const WARM_UP = 100
-/** Time for closed connections to end at both sides. */
+/** Time for both sides to finish closing connections. */
 const SETTLE_MS = 300
 const CONNECT_TIMEOUT_MS = 2_000
 const SIDECAR = 'i-0123456789abcdef'
 
-/** Names of the measured slopes. */
+/** Names of the measurements. */
 export type LoopbackName =
   | 'connectionBytes' | 'connectionPeerBytes'
   | 'heartbeatBytes' | 'heartbeatUs' | 'heartbeatPeerUs'
@@ -49,45 +49,46 @@
   readonly peerUs: readonly Point[]
 }
 
-/** This process's side. */
+/** The entry's side of a connection, in this process. */
 interface Client {
   readonly stub: Stub
   readonly connections: Connections
   readonly address: string
+  /** Resolves with the next event of a type. */
   readonly next: (type: Event['type']) => Promise<void>
-  /** Resolves with the next answer of any kind. */
+  /** Resolves with the next response of any kind. */
   readonly answered: () => Promise<void>
   readonly close: () => void
 }
 
 /**
- * Measures the transport.
+ * Measures the bytes, CPU time and memory of the transport.
  *
- * @returns points by slope
+ * @returns measured points by name
  */
 export async function measureLoopback (): Promise<Readonly<Record<LoopbackName, MeasuredPoints>>> {
   const peer = fork(new URL('./BendfallFakesCapacityPeer.js', import.meta.url), { execArgv: ['--expose-gc'] })
   try {
-    const addresses = await ask<PeerAddresses>(peer, { type: 'listen', count: Math.max(...CONNECTION_COUNTS) })
-    const heartbeat = await measureWork(peer, addresses, MESSAGE_COUNTS, beat)
-    const renewal = await measureWork(peer, addresses, MESSAGE_COUNTS, renew)
+    const addresses = await sendRequest<PeerAddresses>(peer, { type: 'listen', count: Math.max(...CONNECTION_COUNTS) })
+    const heartbeat = await measureWork(peer, addresses, MESSAGE_COUNTS, sendHeartbeats)
+    const renewal = await measureWork(peer, addresses, MESSAGE_COUNTS, sendRenewals)
     const poll = await measureWork(peer, addresses, MESSAGE_COUNTS, pollConfig)
     const request = await measureWork(peer, addresses, REQUEST_COUNTS, runRequests)
     const token = await measureWork(peer, addresses, TOKEN_COUNTS, streamTokens)
     const connection = await measureConnections(peer, addresses)
     return {
-      heartbeatBytes: { name: 'heartbeat on the wire, both ways', unit: 'B', per: 'exchange', points: heartbeat.bytes },
+      heartbeatBytes: { name: 'heartbeat on the wire, both directions', unit: 'B', per: 'exchange', points: heartbeat.bytes },
       heartbeatUs: { name: 'heartbeat, transport at the entry', unit: 'µs', per: 'exchange', points: heartbeat.us },
       heartbeatPeerUs: { name: 'heartbeat, transport at the sidecar', unit: 'µs', per: 'exchange', points: heartbeat.peerUs },
-      renewalBytes: { name: 'renewal of two leases on the wire, both ways', unit: 'B', per: 'exchange', points: renewal.bytes },
+      renewalBytes: { name: 'renewal of two leases on the wire, both directions', unit: 'B', per: 'exchange', points: renewal.bytes },
       renewalUs: { name: 'renewal of two leases, transport at the entry', unit: 'µs', per: 'exchange', points: renewal.us },
       renewalPeerUs: { name: 'renewal of two leases, transport at the sidecar', unit: 'µs', per: 'exchange', points: renewal.peerUs },
-      pollBytes: { name: 'idle FetchConfig on the wire, both ways', unit: 'B', per: 'exchange', points: poll.bytes },
-      pollUs: { name: 'idle FetchConfig, asker or asked', unit: 'µs', per: 'exchange', points: poll.us },
+      pollBytes: { name: 'idle FetchConfig on the wire, both directions', unit: 'B', per: 'exchange', points: poll.bytes },
+      pollUs: { name: 'idle FetchConfig, client or server side', unit: 'µs', per: 'exchange', points: poll.us },
       requestBytes: { name: 'reserve, prefill, decode of one token on the wire, without prompt', unit: 'B', per: 'request', points: request.bytes },
       requestUs: { name: 'reserve, prefill, decode of one token, transport at the entry', unit: 'µs', per: 'request', points: request.us },
       requestPeerUs: { name: 'reserve, prefill, decode of one token, transport at the sidecars', unit: 'µs', per: 'request', points: request.peerUs },
-      tokenBytes: { name: 'token batch on the wire, both ways', unit: 'B', per: 'batch', points: token.bytes },
+      tokenBytes: { name: 'token batch on the wire, both directions', unit: 'B', per: 'batch', points: token.bytes },
       tokenUs: { name: 'token batch, transport at the entry', unit: 'µs', per: 'batch', points: token.us },
       tokenPeerUs: { name: 'token batch, transport at the sidecar', unit: 'µs', per: 'batch', points: token.peerUs },
       connectionBytes: { name: 'open connection at the entry', unit: 'B', per: 'connection', points: connection.own },
@@ -98,17 +99,17 @@
   }
 }
 
-async function ask<Answer> (peer: ChildProcess, question: PeerAsk): Promise<Answer> {
-  peer.send(question)
-  const [answer] = await once(peer, 'message')
-  return answer as Answer
+async function sendRequest<Reply> (peer: ChildProcess, request: PeerAsk): Promise<Reply> {
+  peer.send(request)
+  const [response] = await once(peer, 'message')
+  return response as Reply
 }
 
 function createClient (address: string): Client {
   const waiting = new Map<Event['type'], () => void>()
   const record: InstanceRecord = { instanceId: SIDECAR, availabilityZone: 'a', address, kind: 'upstream', pool: 'p', state: 'live' }
-  let onAnswer = (): void => {}
-  const stub = createStub('i-fedcba9876543210', [record], () => [], () => onAnswer())
+  let onResponse = (): void => {}
+  const stub = createStub('i-fedcba9876543210', [record], () => [], () => onResponse())
   const connections = createConnections(CONNECT_TIMEOUT_MS, 'entry')
   const teardown = registerSidecarClients(stub.runtime, stub.sender, connections, (_, error) => { throw error })
   stub.runtime.registerListener((event) => {
@@ -121,7 +122,7 @@
     connections,
     address,
     next: (type) => new Promise((resolve) => waiting.set(type, resolve)),
-    answered: () => new Promise((resolve) => { onAnswer = resolve }),
+    answered: () => new Promise((resolve) => { onResponse = resolve }),
     close: () => {
       teardown()
       connections.close()
@@ -129,7 +130,7 @@
   }
 }
 
-// Bytes are counted through the relay, processor time without it.
+// Bytes are counted through the relay; CPU time is measured without it.
 async function measureWork (peer: ChildProcess, addresses: PeerAddresses, counts: readonly number[], work: Work): Promise<Cost> {
   const bytes: Point[] = []
   const us: Point[] = []
@@ -139,14 +140,14 @@
   await work(relayed, WARM_UP)
   await work(direct, WARM_UP)
   for (const count of counts) {
-    const before = await ask<PeerUsage>(peer, { type: 'usage' })
+    const before = await sendRequest<PeerUsage>(peer, { type: 'usage' })
     await work(relayed, count)
-    const counted = await ask<PeerUsage>(peer, { type: 'usage' })
+    const counted = await sendRequest<PeerUsage>(peer, { type: 'usage' })
     bytes.push({ size: count, value: counted.relayedBytes - before.relayedBytes })
     const own = process.cpuUsage()
     await work(direct, count)
     const { user, system } = process.cpuUsage(own)
-    const after = await ask<PeerUsage>(peer, { type: 'usage' })
+    const after = await sendRequest<PeerUsage>(peer, { type: 'usage' })
     us.push({ size: count, value: user + system })
     peerUs.push({ size: count, value: after.cpuUs - counted.cpuUs })
   }
@@ -155,42 +156,42 @@
   return { bytes, us, peerUs }
 }
 
-async function carry (client: Client, effect: Effect, answer: Event['type']): Promise<void> {
-  const answered = client.next(answer)
+async function runEffect (client: Client, effect: Effect, responseType: Event['type']): Promise<void> {
+  const responded = client.next(responseType)
   client.stub.carryOut(effect)
-  await answered
+  await responded
 }
 
-const renew: Work = async (client, count) => {
+const sendRenewals: Work = async (client, count) => {
   const requestIds = numbers(STREAMS).map(idOf)
-  for (let turn = 0; turn < count; turn++) {
-    const answered = client.answered()
+  for (let iteration = 0; iteration < count; iteration++) {
+    const responded = client.answered()
     client.stub.carryOut({ type: 'send_renewal', instanceId: SIDECAR, requestIds })
-    await answered
+    await responded
   }
 }
 
-const beat: Work = async (client, count) => {
+const sendHeartbeats: Work = async (client, count) => {
   await pollConfig(client, 1)
   const connection = client.connections.to(client.address)
-  for (let turn = 0; turn < count; turn++) await new Promise<void>((resolve) => connection.heartbeat(resolve))
+  for (let iteration = 0; iteration < count; iteration++) await new Promise<void>((resolve) => connection.heartbeat(resolve))
 }
 
 const pollConfig: Work = async (client, count) => {
   const peers = createConfigPeers(client.connections, client.stub.sender)
-  for (let turn = 0; turn < count; turn++) await peers.fetchConfig(client.address, { haveVersion: 54_321, waitMs: 20_000, takesPatch: true, list: { haveRevision: '12840-89abcdef-01234567', haveAgeMs: 20_000.5 } })
+  for (let iteration = 0; iteration < count; iteration++) await peers.fetchConfig(client.address, { haveVersion: 54_321, waitMs: 20_000, takesPatch: true, list: { haveRevision: '12840-89abcdef-01234567', haveAgeMs: 20_000.5 } })
 }
 
 const runRequests: Work = async (client, count) => {
   for (let index = 0; index < count; index++) {
     const shared = { requestId: idOf(index), attempt: 1, entryId: '', model: modelName(1), trafficClass: 'interactive' } as const
-    await carry(client, { type: 'send_reserve', instanceId: SIDECAR, ask: { ...shared, entryIncarnation: '', clientId: 'client-123', kvBytes: 217_391_304, maxOutputTokens: 1_000, maxReadyInMs: 987.5, neededInMs: 234.5 } }, 'reserve_replied')
-    await carry(client, { type: 'send_prefill', instanceId: SIDECAR, ask: { ...shared, prompt: '', promptTokens: DERIVED.promptTokens, expectedTokens: 1_150, notBeforeInMs: 0, prefixHashes: numbers(ASSUMED.prefixHashes).map(() => '0123456789abcdef'), maxWaitMs: 987.5 } }, 'prefill_replied')
-    await carry(client, decodeEffect(index, 1), 'decode_ended')
+    await runEffect(client, { type: 'send_reserve', instanceId: SIDECAR, ask: { ...shared, entryIncarnation: '', clientId: 'client-123', kvBytes: 217_391_304, maxOutputTokens: 1_000, maxReadyInMs: 987.5, neededInMs: 234.5 } }, 'reserve_replied')
+    await runEffect(client, { type: 'send_prefill', instanceId: SIDECAR, ask: { ...shared, prompt: '', promptTokens: DERIVED.promptTokens, expectedTokens: 1_150, notBeforeInMs: 0, prefixHashes: numbers(ASSUMED.prefixHashes).map(() => '0123456789abcdef'), maxWaitMs: 987.5 } }, 'prefill_replied')
+    await runEffect(client, decodeEffect(index, 1), 'decode_ended')
   }
 }
 
-// Streams of one sidecar for one entry step together, as those of one engine do.
+// All streams between one sidecar and one entry run in step, like the streams of one engine.
 const streamTokens: Work = async (client, count) => {
   let ended = 0
   const all = new Promise<void>((resolve) => {
@@ -212,18 +213,18 @@
 
 async function measureConnections (peer: ChildProcess, { sidecars }: PeerAddresses): Promise<{ readonly own: readonly Point[], readonly peer: readonly Point[] }> {
   const own: Point[] = []
-  const other: Point[] = []
+  const remote: Point[] = []
   for (const count of [WARM_UP, ...CONNECTION_COUNTS]) {
     await pause(SETTLE_MS)
-    const before = { own: usedBytes(), peer: (await ask<PeerUsage>(peer, { type: 'usage' })).usedBytes }
+    const before = { own: usedBytes(), peer: (await sendRequest<PeerUsage>(peer, { type: 'usage' })).usedBytes }
     const client = createClient(sidecars[0])
     const peers = createConfigPeers(client.connections, client.stub.sender)
     for (const address of sidecars.slice(0, count)) await peers.fetchConfig(address, { haveVersion: 1, waitMs: 0, takesPatch: true })
     own.push({ size: count, value: usedBytes() - before.own })
-    other.push({ size: count, value: (await ask<PeerUsage>(peer, { type: 'usage' })).usedBytes - before.peer })
+    remote.push({ size: count, value: (await sendRequest<PeerUsage>(peer, { type: 'usage' })).usedBytes - before.peer })
     client.close()
   }
-  return { own: own.slice(1), peer: other.slice(1) }
+  return { own: own.slice(1), peer: remote.slice(1) }
 }
 
 function idOf (index: number): string {
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityMeter.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityMeter.ts
@@ -1,26 +1,26 @@
 /**
- * Measures time and retained memory of small pieces of work.
+ * Measures the CPU time and the retained memory of small operations.
  *
  * @module
  */
 import { medianOf } from './BendfallFakesCapacityFit.js'
 import type { Point } from './BendfallFakesCapacityFit.js'
 
-/** A quantity over a size. */
+/** Name and units of a measured quantity. */
 export interface Quantity {
   readonly name: string
-  /** Unit of a value. */
+  /** Unit of the value. */
   readonly unit: 'B' | 'µs'
-  /** What one more of the size is. */
+  /** Unit of the size, such as `request`. */
   readonly per: string
 }
 
-/** A quantity that can be measured at several sizes. */
+/** A quantity with the function that measures it at several sizes. */
 export interface SlopeCase extends Quantity {
   readonly measure: () => readonly Point[]
 }
 
-/** A quantity that was measured at several sizes. */
+/** A quantity with the points measured at several sizes. */
 export interface MeasuredPoints extends Quantity {
   readonly points: readonly Point[]
 }
@@ -30,26 +30,26 @@
 const HEAP_RUNS = 3
 
 /**
- * Measures at several sizes.
+ * Measures a value at several sizes.
  *
- * @param sizes - the sizes
- * @param valueAt - measures at one size
- * @returns the points
+ * @param sizes - sizes to measure at
+ * @param valueAt - measures the value at one size
+ * @returns one point per size
  */
 export function pointsAt (sizes: readonly number[], valueAt: (size: number) => number): readonly Point[] {
   return sizes.map((size) => ({ size, value: valueAt(size) }))
 }
 
 /**
- * Measures the processor time of a piece of work, garbage collection included:
- * median of several runs after warm-up. Time on the wall would count what other
- * processes of a busy machine take.
+ * Measures the CPU time of an operation, including garbage collection: the median
+ * of several runs after warm-up. Wall-clock time would include the time that other
+ * processes take on a busy machine.
  *
- * @param prepare - makes the work of one run; not timed
- * @returns microseconds
+ * @param prepare - creates the operation of one run; is not timed
+ * @returns CPU time in microseconds
  */
 export function timeUs (prepare: () => () => void): number {
-  for (let turn = 0; turn < WARM_UPS; turn++) prepare()()
+  for (let iteration = 0; iteration < WARM_UPS; iteration++) prepare()()
   const values = Array.from({ length: TIMED_RUNS }, () => {
     const run = prepare()
     const before = process.cpuUsage()
@@ -61,11 +61,11 @@
 }
 
 /**
- * Measures what a piece of state keeps on the heap and in buffers beside it:
- * median of several runs, each between two garbage collections.
+ * Measures the memory that a piece of state retains on the heap and in external
+ * buffers: the median of several runs, each between two garbage collections.
  *
- * @param build - makes the state
- * @returns bytes
+ * @param build - creates the state
+ * @returns retained bytes
  */
 export function retainedBytes (build: () => unknown): number {
   build()
@@ -73,20 +73,20 @@
     const before = usedBytes()
     const holder = { kept: build() }
     const after = usedBytes()
-    // Else the state of this run could still be there at the start of the next.
+    // Otherwise the state of this run could still be in memory at the start of the next run.
     holder.kept = undefined
     return after - before
   }))
 }
 
 /**
- * Reads the memory in use after garbage collection.
+ * Returns the memory in use after a garbage collection.
  *
- * @returns bytes of heap and buffers
- * @throws Error without `--expose-gc`
+ * @returns bytes of heap and external buffers
+ * @throws Error when Node.js runs without `--expose-gc`
  */
 export function usedBytes (): number {
-  if (globalThis.gc === undefined) throw new Error('start with node --expose-gc')
+  if (globalThis.gc === undefined) throw new Error('memory measurements need node --expose-gc')
   globalThis.gc()
   globalThis.gc()
   const { heapUsed, external } = process.memoryUsage()
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityPeer.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityPeer.ts
@@ -1,6 +1,6 @@
 /**
- * The other process of the loopback measurements: sidecars that answer at
- * once, and a relay that counts the bytes of a connection.
+ * Child process of the loopback measurements: runs sidecars that respond at once,
+ * and a relay that counts the bytes of a connection.
  *
  * @module
  */
@@ -12,34 +12,34 @@
 import { usedBytes } from './BendfallFakesCapacityMeter.js'
 import { createStub } from './BendfallFakesCapacityStub.js'
 
-/** Pause between two decode steps of the stand-in engine. */
+/** Interval between two decode steps of the simulated engine. */
 const STEP_MS = 1
 
-/** What the measuring process asks for. */
+/** Requests of the measuring process, sent over the IPC channel. */
 export type PeerAsk =
   | { readonly type: 'listen', readonly count: number }
   | { readonly type: 'usage' }
 
-/** What the other process answers. */
+/** Resource usage of the child process. */
 export interface PeerUsage {
-  /** Processor time since the start of the process. */
+  /** CPU time since the start of the process. */
   readonly cpuUs: number
-  /** Heap and buffers in use after garbage collection. */
+  /** Heap and external buffers in use after a garbage collection. */
   readonly usedBytes: number
-  /** Bytes that passed the relay, both directions together. */
+  /** Bytes that passed through the relay, sum of both directions. */
   readonly relayedBytes: number
 }
 
-/** Addresses that the other process listens on. */
+/** Addresses that the child process listens on. */
 export interface PeerAddresses {
   readonly sidecars: readonly string[]
-  /** Counts and passes on to the first sidecar. */
+  /** Relay that forwards to the first sidecar and counts the bytes. */
   readonly relay: string
 }
 
 let relayedBytes = 0
 
-function pass (from: Socket, to: Socket): void {
+function forward (from: Socket, to: Socket): void {
   from.on('data', (chunk) => {
     relayedBytes += chunk.byteLength
     to.write(chunk)
@@ -50,24 +50,24 @@
 
 async function listenRelay (target: string): Promise<string> {
   const { hostname, port } = new URL(`http://${target}`)
-  const server = createServer({ noDelay: true }, (near) => {
-    const far = connect({ host: hostname, port: Number(port), noDelay: true })
-    pass(near, far)
-    pass(far, near)
+  const server = createServer({ noDelay: true }, (downstream) => {
+    const upstream = connect({ host: hostname, port: Number(port), noDelay: true })
+    forward(downstream, upstream)
+    forward(upstream, downstream)
   })
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve))
   return `127.0.0.1:${(server.address() as AddressInfo).port}`
 }
 
 async function listenSidecar (): Promise<string> {
-  const stub = createStub('i-sidecar', [], (event) => answerOf(event))
-  const answerOf = (event: Event): readonly Effect[] => {
-    if (event.type === 'decode_asked') setTimeout(() => makeToken(event.ask.requestId, event.ask.maxOutputTokens, 0), STEP_MS)
-    return answers[event.type]?.(event as never) ?? []
+  const stub = createStub('i-sidecar', [], (event) => handleEvent(event))
+  const handleEvent = (event: Event): readonly Effect[] => {
+    if (event.type === 'decode_asked') setTimeout(() => relayToken(event.ask.requestId, event.ask.maxOutputTokens, 0), STEP_MS)
+    return eventHandlers[event.type]?.(event as never) ?? []
   }
-  const makeToken = (requestId: string, count: number, index: number): void => {
+  const relayToken = (requestId: string, count: number, index: number): void => {
     stub.carryOut({ type: 'relay_tokens', requestId, attempt: 1, index, tokens: ['token '] })
-    if (index + 1 < count) setTimeout(() => makeToken(requestId, count, index + 1), STEP_MS)
+    if (index + 1 < count) setTimeout(() => relayToken(requestId, count, index + 1), STEP_MS)
     else stub.carryOut({ type: 'relay_end', requestId, attempt: 1, end: { type: 'finished', tokenCount: count, load: DECODE_LOAD } })
   }
   const listener = await listenForPeers('127.0.0.1:0', (router, streams) => {
@@ -77,9 +77,9 @@
   return listener.address
 }
 
-type Answers = { readonly [T in Event['type']]?: (event: Extract<Event, { type: T }>) => readonly Effect[] }
+type EventHandlers = { readonly [T in Event['type']]?: (event: Extract<Event, { type: T }>) => readonly Effect[] }
 
-const answers: Answers = {
+const eventHandlers: EventHandlers = {
   reserve_asked: ({ ask }) => [{ type: 'reply_reserve', requestId: ask.requestId, attempt: ask.attempt, reply: { type: 'granted', readyInMs: 1.5, leaseMs: 10_000, fencingToken: 123_456, load: DECODE_LOAD } }],
   prefill_asked: ({ ask }) => [{ type: 'reply_prefill', requestId: ask.requestId, attempt: ask.attempt, reply: { type: 'done', handle: ask.requestId, exportUrl: 'http://10.12.34.56:8000/kv', kvBytes: 217_391_304, cachedTokens: 1_024, evictsInMs: 800, load: PREFILL_LOAD } }]
 }
@@ -95,8 +95,8 @@
   return { cpuUs: user + system, usedBytes: usedBytes(), relayedBytes }
 }
 
-process.on('message', (ask: PeerAsk) => {
-  if (ask.type === 'usage') process.send?.(readUsage())
-  else listen(ask.count).then((addresses) => process.send?.(addresses))
+process.on('message', (request: PeerAsk) => {
+  if (request.type === 'usage') process.send?.(readUsage())
+  else listen(request.count).then((addresses) => process.send?.(addresses))
 })
 process.on('disconnect', () => process.exit())
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityRemedies.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityRemedies.ts
@@ -1,6 +1,6 @@
 /**
- * What would make rows fit, worked out from the same slopes. None of it is in
- * the code.
+ * Estimates design changes that would bring rows within their limits, from the
+ * same measurements. None of the changes is implemented.
  *
  * @module
  */
@@ -12,7 +12,7 @@
 import { bytesPerKey, keysAtHolder } from './BendfallFakesCapacitySidecarRows.js'
 import { DERIVED, SIZE } from './BendfallFakesCapacitySize.js'
 
-/** A change with its figures. */
+/** A design change with the affected cost before and after it. */
 export interface Remedy {
   readonly role: CapacityRole
   readonly resource: Resource
@@ -22,10 +22,10 @@
 }
 
 /**
- * Works out the remedies.
+ * Estimates the effect of all remedies.
  *
- * @param facts - what was measured
- * @returns the changes, each with the figure of its row before and after
+ * @param facts - measured slopes and constants
+ * @returns the changes, each with the cost of its row before and after
  */
 export function remedies (facts: Facts): readonly Remedy[] {
   return [...configRemedies(facts), ...homeRemedies(facts)]
@@ -33,7 +33,7 @@
 
 function configRemedies ({ configBytes }: Facts): readonly Remedy[] {
   return [
-    { role: 'watcher', resource: 'traffic', change: 'a key for each section entry, watched by prefix', before: exactly(DERIVED.changesPerSecond * configBytes.whole), after: exactly(DERIVED.changesPerSecond * configBytes.assignmentPatch) }
+    { role: 'watcher', resource: 'traffic', change: 'one key per section entry, watched by prefix', before: exactly(DERIVED.changesPerSecond * configBytes.whole), after: exactly(DERIVED.changesPerSecond * configBytes.assignmentPatch) }
   ]
 }
 
@@ -42,7 +42,7 @@
   const regional = holders * SIZE.regions
   const perKey = bytesPerKey(facts)
   return [
-    { role: 'home holder', resource: 'memory', change: 'a pool for each model and region', before: times(perKey, keysAtHolder(holders).kept), after: times(perKey, keysAtHolder(regional).kept) },
-    { role: 'key-value service', resource: 'writes', change: 'the same: renewals of its holders', before: exactly(holders / HOME_TIMES.renewalSeconds), after: exactly(regional / HOME_TIMES.renewalSeconds) }
+    { role: 'home holder', resource: 'memory', change: 'one pool per model and region', before: times(perKey, keysAtHolder(holders).kept), after: times(perKey, keysAtHolder(regional).kept) },
+    { role: 'key-value service', resource: 'writes', change: 'one pool per model and region: lease renewals of its holders', before: exactly(holders / HOME_TIMES.renewalSeconds), after: exactly(regional / HOME_TIMES.renewalSeconds) }
   ]
 }
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityRow.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityRow.ts
@@ -1,5 +1,6 @@
 /**
- * Rows of the product: what one mechanism costs one process at full size.
+ * Rows of the cost table: what one mechanism costs one process at the target size,
+ * and whether that is within the limit of the resource.
  *
  * @module
  */
@@ -7,41 +8,41 @@
 import type { Estimate, Line } from './BendfallFakesCapacityFit.js'
 import { exactly, plus } from './BendfallFakesCapacityFit.js'
 
-/** Parts of the design that a row can be about. */
+/** Roles whose costs are estimated. */
 export type CapacityRole = 'entry' | 'sidecar' | 'home holder' | 'watcher' | 'key-value service'
 
-/** What is spent, each in its own unit; see `LIMITS`. */
+/** Resources with a limit; `LIMITS` gives the unit of each. */
 export type Resource = keyof typeof LIMITS
 
-/** Control is held against the limits, the path of requests is not. */
+/** Control traffic and the path of requests; only control has limits for all resources. */
 export type CapacityPath = 'control' | 'data'
 
-/** One mechanism's cost for one process. */
+/** Cost of one mechanism for one process. */
 export interface Row {
   readonly role: CapacityRole
   readonly path: CapacityPath
   readonly resource: Resource
   readonly mechanism: string
   readonly estimate: Estimate
-  /** True for the load of a fault, which comes beside the ordinary one. */
+  /** True for load that a fault adds to the ordinary load. */
   readonly isFault?: boolean
 }
 
-/** How a row or a sum stands to its limit. */
+/** Result of the comparison of a row or a total with its limit. */
 export type Verdict = 'fits' | 'DOES NOT FIT' | 'uncertain' | 'no limit'
 
 /** Fitted lines by name. */
 export type Lines<Name extends string> = Readonly<Record<Name, Line>>
 
-/** Errors within which a figure counts as safely on one side of its limit. */
+/** Distance from the limit, in standard errors, at which a verdict is certain. */
 const SAFE_ERRORS = 2
 
 const ONE_CORE = 1
 
 /**
- * Holds a figure against a limit.
+ * Compares an estimate with a limit.
  *
- * @param estimate - the figure
+ * @param estimate - figure with its standard error
  * @param limit - the limit, in the same unit
  * @returns the verdict; `uncertain` within two standard errors of the limit
  */
@@ -51,10 +52,10 @@
 }
 
 /**
- * Holds a row against the limit of its resource.
+ * Compares a row with the limit of its resource.
  *
- * @param row - the row
- * @returns the verdict
+ * @param row - cost of one mechanism
+ * @returns the verdict; `no limit` when the resource has none on this path
  */
 export function judgeRow (row: Row): Verdict {
   const limit = limitOf(row.path, row.resource)
@@ -62,12 +63,12 @@
 }
 
 /**
- * Finds the limit of a resource.
+ * Returns the limit of a resource.
  *
- * @param path - control or data
- * @param resource - what is spent
- * @returns the limit; on the path of requests only processor time has one,
- *   since a process has one thread for it
+ * @param path - `control`, or `data` for the path of requests
+ * @param resource - limited resource
+ * @returns the limit; on the path of requests only CPU time has one, because a
+ *   process handles requests on a single thread
  */
 export function limitOf (path: CapacityPath, resource: Resource): number | undefined {
   if (path === 'control') return LIMITS[resource]
@@ -76,10 +77,10 @@
 
 /**
  * Adds up the rows that have a limit, by role, path and resource. Rows of faults
- * are left out.
+ * are not included.
  *
  * @param rows - all rows
- * @returns one row for each role and resource that has more than one row
+ * @returns one total per role, path and resource
  */
 export function sumRows (rows: readonly Row[]): readonly Row[] {
   const groups = new Map<string, Row[]>()
@@ -92,18 +93,18 @@
 
 function sumOf (rows: readonly Row[]): Row {
   const estimate = plus(...rows.map((row) => row.estimate))
-  return { ...rows[0], mechanism: `all of ${rows[0].path}`, estimate }
+  return { ...rows[0], mechanism: `total of ${rows[0].path}`, estimate }
 }
 
-/** Makes a row of one role and path. */
+/** Creates a row of one role and path from resource, mechanism and cost. */
 export type RowMaker = (resource: Resource, mechanism: string, estimate: Estimate | number) => Row
 
 /**
- * Makes rows of one role and path.
+ * Creates a factory for rows of one role and path.
  *
- * @param role - the role
- * @param path - control or data
- * @returns makes a row from resource, mechanism and figure
+ * @param role - role of the process
+ * @param path - `control`, or `data` for the path of requests
+ * @returns the factory
  */
 export function rowMaker (role: CapacityRole, path: CapacityPath): RowMaker {
   return (resource, mechanism, estimate) => ({
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityServiceRows.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityServiceRows.ts
@@ -1,5 +1,6 @@
 /**
- * What the key-value service has to carry, on an ordinary day and in faults.
+ * Estimates the load of the key-value service, in ordinary operation and during
+ * faults, and the costs of a watcher.
  *
  * @module
  */
@@ -15,19 +16,19 @@
 const MS_PER_SECOND = 1000
 const SECONDS_PER_DAY = 86_400
 
-/** Periods of the home holders. */
+/** Intervals of the home holders. */
 export const HOME_TIMES = {
   renewalSeconds: DEFAULT_HOME_HOLDER_TIMES.renewalMs / MS_PER_SECOND,
   watchSeconds: DEFAULT_HOME_HOLDER_TIMES.watchWaitMs / MS_PER_SECOND
 } as const
 
-/** Mean pause of a process that looks for its first configuration: full jitter of 15 s. */
+/** Mean retry delay of a process that has no configuration yet: full jitter over 15 s. */
 const FIRST_CONFIG_RETRY_SECONDS = 7.5
 
-/** A conditional reading and its answer 304, with headers; counted by a relay. */
+/** A conditional read and its 304 response, including headers, as counted by a relay. */
 const UNCHANGED_LIST_BYTES = 362
 
-/** Time within which a fault's calls are to be done. */
+/** Time within which the calls that a fault causes must be completed. */
 const FAULT_SECONDS = 10
 
 const service = rowMaker('key-value service', 'control')
@@ -35,28 +36,28 @@
 const watcher = rowMaker('watcher', 'control')
 
 /**
- * Works out the calls a second at the key-value service.
+ * Estimates the rate of calls at the key-value service.
  *
- * @param facts - what was measured
- * @returns the rows, each scenario beside the ordinary load
+ * @param facts - measured slopes and constants
+ * @returns the rows; those of faults come in addition to the ordinary load
  */
 export function serviceRows (facts: Facts): readonly Row[] {
   return [...ordinaryRows(facts), ...faultRows(facts)]
 }
 
 /**
- * Works out the rows of a watcher, on top of those of an entry.
+ * Estimates the costs of a watcher, in addition to those of an entry.
  *
- * @param facts - what was measured
+ * @param facts - measured slopes and constants
  * @returns the rows
  */
 export function watcherRows ({ config, configBytes, members, timings }: Facts): readonly Row[] {
   return [
-    watcher('traffic', 'watch of the configuration, whole document a change', DERIVED.changesPerSecond * configBytes.whole),
-    watcher('traffic', 'instance list, unchanged readings', UNCHANGED_LIST_BYTES * MS_PER_SECOND / timings.instancePollMs),
-    watcher('traffic', 'instance list, whole and compressed, each change', times(members.listZippedBytes.at(DERIVED.instances), DERIVED.instanceChangesPerSecond)),
-    watcher('cpu', 'instance list, parsed, each change', cores(members.listParseUs.at(DERIVED.instances), DERIVED.instanceChangesPerSecond)),
-    watcher('cpu', 'whole document, parsed and checked', cores(config.parseUs.at(configBytes.whole), DERIVED.changesPerSecond))
+    watcher('traffic', 'watch of the configuration, complete document per change', DERIVED.changesPerSecond * configBytes.whole),
+    watcher('traffic', 'instance list, unchanged reads', UNCHANGED_LIST_BYTES * MS_PER_SECOND / timings.instancePollMs),
+    watcher('traffic', 'instance list, complete and compressed, at each change', times(members.listZippedBytes.at(DERIVED.instances), DERIVED.instanceChangesPerSecond)),
+    watcher('cpu', 'instance list, parsing at each change', cores(members.listParseUs.at(DERIVED.instances), DERIVED.instanceChangesPerSecond)),
+    watcher('cpu', 'complete document, parsing and validation', cores(config.parseUs.at(configBytes.whole), DERIVED.changesPerSecond))
   ]
 }
 
@@ -65,9 +66,9 @@
   const holders = SIZE.models * homeCandidates
   const slotChanges = (SIZE.failuresPerDay + SIZE.restartsPerDay) / SECONDS_PER_DAY * holders / SIZE.replicas
   return [
-    service('reads', 'watch of the configuration, two watchers an availability zone', watchers * (MS_PER_SECOND / timings.configWatchMs + DERIVED.changesPerSecond)),
+    service('reads', 'watch of the configuration, two watchers per availability zone', watchers * (MS_PER_SECOND / timings.configWatchMs + DERIVED.changesPerSecond)),
     service('reads', 'first configuration of restarted processes', SIZE.restartsPerDay / SECONDS_PER_DAY),
-    service('reads', 'watch of the slots, 8 holders a pool', holders * (1 / HOME_TIMES.watchSeconds + slotChanges)),
+    service('reads', 'watch of the slots, 8 holders per pool', holders * (1 / HOME_TIMES.watchSeconds + slotChanges)),
     service('reads', 'plan and confirm', 2 * DERIVED.changesPerSecond),
     service('writes', 'renewal of the holders\' leases', holders / HOME_TIMES.renewalSeconds),
     service('writes', 'confirm', DERIVED.changesPerSecond)
@@ -82,10 +83,10 @@
   const watchersOfRegion = WATCHERS_PER_ZONE * SIZE.availabilityZones / SIZE.regions
   return [
     fault('writes', 'availability zone lost: evict, grant, claim within 10 s', (2 * lostHolders + lostSlots) / FAULT_SECONDS),
-    fault('reads', 'availability zone lost: watches of all holders end once a slot', homeCandidates * lostSlots / FAULT_SECONDS),
-    fault('reads', 'region back after minutes: its watchers read once', watchersOfRegion / FAULT_SECONDS),
+    fault('reads', 'availability zone lost: watches of all holders end once per slot', homeCandidates * lostSlots / FAULT_SECONDS),
+    fault('reads', 'region reconnected after minutes: its watchers read once', watchersOfRegion / FAULT_SECONDS),
     fault('writes', 'all restarted: grants and claims within 10 s', (holders + slots) / FAULT_SECONDS),
     fault('reads', 'all restarted: first configuration within 10 s', DERIVED.instances / FAULT_SECONDS),
-    fault('reads', 'service down while all restart: tries of all processes', DERIVED.instances / FIRST_CONFIG_RETRY_SECONDS)
+    fault('reads', 'service down while all restart: retries of all processes', DERIVED.instances / FIRST_CONFIG_RETRY_SECONDS)
   ]
 }
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacitySidecar.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacitySidecar.ts
@@ -1,5 +1,6 @@
 /**
- * Slopes of the sidecar's reducer, and of the keys that a home keeps.
+ * Measures the cost of the sidecar's reducer, and of the idempotency keys that a
+ * home stores.
  *
  * @module
  */
@@ -16,8 +17,8 @@
 const RENEWAL_COUNTS = [500, 1_000, 2_000, 4_000]
 const LEASES_PER_RENEWAL = 2
 const KEY_COUNTS = [1_000, 2_000, 4_000, 8_000]
-const ANSWER_BYTES = [500, 1_000, 2_000, 4_000]
-const KEYS_OF_ANSWERS = 1_000
+const RESPONSE_BYTES = [500, 1_000, 2_000, 4_000]
+const KEYS_WITH_RESPONSES = 1_000
 const OPEN_REQUESTS = 59
 const KV_BYTES = 217e6
 const TOTAL_KV_BYTES = 1e15
@@ -27,7 +28,7 @@
 const MODEL = modelName(0)
 const ENTRY_ID = 'i-entry'
 
-function ready (): Driven {
+function createReadySidecar (): Driven {
   const driven = drive('sidecar', POOL)
   driven.send({ type: 'config_learned', atMs: 0, config: createConfig(1, FULL_CONFIG) })
   driven.send({ type: 'engine_order_ended', atMs: 0, fencingToken: 1, result: { type: 'done' } })
@@ -42,7 +43,7 @@
 function startDecode (driven: Driven, requestId: string): void {
   const shared = { requestId, attempt: 1, entryId: ENTRY_ID, model: MODEL, trafficClass: 'interactive', maxOutputTokens: 1_000 } as const
   const { reply } = effectOf(driven.send({ type: 'reserve_asked', atMs: 1, ask: { ...shared, entryIncarnation: ENTRY_ID, clientId: 'client-1', kvBytes: KV_BYTES, neededInMs: 100, maxReadyInMs: 1_000 } }), 'reply_reserve')
-  if (reply.type !== 'granted') throw new Error(`reservation ${reply.type}`)
+  if (reply.type !== 'granted') throw new Error(`unexpected reply to a reservation: ${reply.type}`)
   driven.send({ type: 'decode_asked', atMs: 1, ask: { ...shared, fencingToken: reply.fencingToken, handle: requestId, exportUrl: 'http://10.1.2.3:8000/kv', kvBytes: KV_BYTES, prompt: 'prompt', resumeTokens: [] } })
   driven.send({ type: 'engine_import_ended', atMs: 1, requestId, attempt: 1, result: { type: 'done' } })
 }
@@ -61,7 +62,7 @@
 
 function requestsUs (count: number): number {
   return timeUs(() => {
-    const driven = ready()
+    const driven = createReadySidecar()
     openRequests(driven, OPEN_REQUESTS)
     return () => { for (let index = 0; index < count; index++) runRequest(driven, idOf(OPEN_REQUESTS + index)) }
   })
@@ -69,11 +70,11 @@
 
 function tokensUs (count: number): number {
   return timeUs(() => {
-    const driven = ready()
+    const driven = createReadySidecar()
     const open = openRequests(driven, OPEN_REQUESTS)
     return () => {
-      for (let turn = 0; turn < count; turn++) {
-        driven.send({ type: 'engine_tokens', atMs: 2, requestId: open[turn % OPEN_REQUESTS], attempt: 1, index: Math.floor(turn / OPEN_REQUESTS), tokens: ['token '] })
+      for (let iteration = 0; iteration < count; iteration++) {
+        driven.send({ type: 'engine_tokens', atMs: 2, requestId: open[iteration % OPEN_REQUESTS], attempt: 1, index: Math.floor(iteration / OPEN_REQUESTS), tokens: ['token '] })
       }
     }
   })
@@ -81,44 +82,44 @@
 
 function heldBytes (count: number): number {
   return retainedBytes(() => {
-    const driven = ready()
+    const driven = createReadySidecar()
     openRequests(driven, count)
     return driven
   })
 }
 
 function renewUs (count: number): number {
-  const driven = ready()
+  const driven = createReadySidecar()
   const requestIds = openRequests(driven, OPEN_REQUESTS).slice(0, LEASES_PER_RENEWAL)
   return timeUs(() => () => {
-    for (let turn = 0; turn < count; turn++) driven.send({ type: 'leases_renewed', atMs: 2, entryId: ENTRY_ID, requestIds })
+    for (let iteration = 0; iteration < count; iteration++) driven.send({ type: 'leases_renewed', atMs: 2, entryId: ENTRY_ID, requestIds })
   })
 }
 
 function heartbeatUs (count: number): number {
-  const driven = ready()
+  const driven = createReadySidecar()
   openRequests(driven, OPEN_REQUESTS)
   const name = { connectionId: '1', entryIncarnation: ENTRY_ID }
   driven.send({ type: 'entry_connected', atMs: 2, ...name })
   return timeUs(() => () => {
-    for (let turn = 0; turn < count; turn++) driven.send({ type: 'entry_heartbeat', atMs: 2, ...name })
+    for (let iteration = 0; iteration < count; iteration++) driven.send({ type: 'entry_heartbeat', atMs: 2, ...name })
   })
 }
 
-function home (): Driven {
-  const driven = ready()
+function createHome (): Driven {
+  const driven = createReadySidecar()
   const slots = numbers(SLOTS).map((slot) => ({ slot, epoch: 3, sinceWallMs: 0 }))
   driven.send({ type: 'home_lease_changed', atMs: 1, pool: POOL, slots, holders: [], validUntilMs: FAR_MS, wallMs: 1 })
   return driven
 }
 
-function claimAsk (index: number): KeyClaimAsk {
+function createClaim (index: number): KeyClaimAsk {
   return { requestId: idOf(index), entryId: ENTRY_ID, pool: POOL, idempotencyKey: `018f0000-${idOf(index)}`, keyIssuedAtMs: 1, bodyDigest: `digest-${index}`.padEnd(43, 'x'), maxWaitMs: 10_000 }
 }
 
-function keepKeys (driven: Driven, count: number, answerBytes: number): void {
+function claimAndSettleKeys (driven: Driven, count: number, answerBytes: number): void {
   for (let index = 0; index < count; index++) {
-    const ask = claimAsk(index)
+    const ask = createClaim(index)
     driven.send({ type: 'key_claim_asked', atMs: 2, ask })
     const result = { type: 'answered', body: new Uint8Array(answerBytes) } as const
     driven.send({ type: 'key_settled', atMs: 3, requestId: ask.requestId, pool: POOL, idempotencyKey: ask.idempotencyKey, result })
@@ -127,20 +128,20 @@
 
 function keyBytes (count: number, answerBytes: number): number {
   return retainedBytes(() => {
-    const driven = home()
-    keepKeys(driven, count, answerBytes)
+    const driven = createHome()
+    claimAndSettleKeys(driven, count, answerBytes)
     return driven
   })
 }
 
 function keysUs (count: number): number {
   return timeUs(() => {
-    const driven = home()
-    return () => keepKeys(driven, count, Math.round(DERIVED.tokensPerRequest * ASSUMED.bytesPerOutputToken))
+    const driven = createHome()
+    return () => claimAndSettleKeys(driven, count, Math.round(DERIVED.tokensPerRequest * ASSUMED.bytesPerOutputToken))
   })
 }
 
-/** Slopes of the sidecar's reducer. */
+/** Measurements of the sidecar's reducer. */
 export const SIDECAR_SLOPES = {
   requestUs: { name: 'decode through the sidecar\'s reducer', unit: 'µs', per: 'request', measure: () => pointsAt(REQUEST_COUNTS, requestsUs) },
   tokenUs: { name: 'token batch through the sidecar\'s reducer', unit: 'µs', per: 'batch', measure: () => pointsAt(TOKEN_COUNTS, tokensUs) },
@@ -149,9 +150,9 @@
   renewUs: { name: 'renewal of two leases at a sidecar', unit: 'µs', per: 'renewal', measure: () => pointsAt(RENEWAL_COUNTS, renewUs) }
 } satisfies Readonly<Record<string, SlopeCase>>
 
-/** Slopes of the keys that a home keeps. */
+/** Measurements of the idempotency keys that a home stores. */
 export const HOME_SLOPES = {
-  keyBytes: { name: 'ended key at its home, without answer', unit: 'B', per: 'key', measure: () => pointsAt(KEY_COUNTS, (count) => keyBytes(count, 0)) },
-  answerBytes: { name: 'answer kept with a key', unit: 'B', per: 'byte', measure: () => pointsAt(ANSWER_BYTES, (bytes) => keyBytes(KEYS_OF_ANSWERS, bytes) / KEYS_OF_ANSWERS) },
-  keyUs: { name: 'claim and end of a key at its home', unit: 'µs', per: 'key', measure: () => pointsAt(KEY_COUNTS, keysUs) }
+  keyBytes: { name: 'settled key at its home, without response', unit: 'B', per: 'key', measure: () => pointsAt(KEY_COUNTS, (count) => keyBytes(count, 0)) },
+  answerBytes: { name: 'response stored with a key', unit: 'B', per: 'byte', measure: () => pointsAt(RESPONSE_BYTES, (bytes) => keyBytes(KEYS_WITH_RESPONSES, bytes) / KEYS_WITH_RESPONSES) },
+  keyUs: { name: 'claim and settlement of a key at its home', unit: 'µs', per: 'key', measure: () => pointsAt(KEY_COUNTS, keysUs) }
 } satisfies Readonly<Record<string, SlopeCase>>
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacitySidecarRows.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacitySidecarRows.ts
@@ -1,5 +1,5 @@
 /**
- * What a sidecar, a home holder and a watcher spend at full size.
+ * Estimates what a sidecar and a home holder spend at the target size.
  *
  * @module
  */
@@ -11,11 +11,11 @@
 import type { Row } from './BendfallFakesCapacityRow.js'
 import { ASSUMED, DERIVED, OPEN_PER_DECODE, SIZE } from './BendfallFakesCapacitySize.js'
 
-/** Reserve and decode at a decode sidecar; each an ask and an answer. */
+/** Reserve and decode at a decode sidecar, each with a request and a response. */
 const STEPS_AT_DECODE = 2
-/** Retention of a key and twice the skew of two clocks. */
-const KEY_KEPT_SECONDS = 604
-const CONFIGS_KEPT = 8
+/** Retention of a key plus twice the maximum skew between two clocks. */
+const KEY_RETENTION_SECONDS = 604
+const MAX_CONFIGS = 8
 
 const control = rowMaker('sidecar', 'control')
 const data = rowMaker('sidecar', 'data')
@@ -23,24 +23,24 @@
 const homeData = rowMaker('home holder', 'data')
 
 /**
- * Works out the rows of a decode sidecar.
+ * Estimates all costs of a decode sidecar.
  *
- * @param facts - what was measured
- * @returns the rows
+ * @param facts - measured slopes and constants
+ * @returns one row for each mechanism and resource
  */
 export function sidecarRows (facts: Facts): readonly Row[] {
   return [...trafficRows(facts), ...cpuRows(facts), ...memoryRows(facts), ...dataRows(facts)]
 }
 
-/** Entries for each decode replica. */
+/** Number of entries per decode replica. */
 const ENTRIES_PER_SIDECAR = SIZE.nodes / DERIVED.decodeReplicas
 
 function trafficRows (facts: Facts): readonly Row[] {
   const { wireBytes, loopback } = facts
   const requests = SIZE.requestsPerSecond / DERIVED.decodeReplicas
   return [
-    control('traffic', 'lease heartbeats, one PING an entry', times(loopback.heartbeatBytes.slope, heartbeatsPerSecond(facts) * ENTRIES_PER_SIDECAR)),
-    control('traffic', 'lease renewals by name', times(renewalBytes(facts), RENEWALS_PER_SECOND * ENTRIES_PER_SIDECAR)),
+    control('traffic', 'lease heartbeats, one PING per entry', times(loopback.heartbeatBytes.slope, heartbeatsPerSecond(facts) * ENTRIES_PER_SIDECAR)),
+    control('traffic', 'lease renewals by request id', times(renewalBytes(facts), RENEWALS_PER_SECOND * ENTRIES_PER_SIDECAR)),
     control('traffic', 'sender and load on the messages of a request', requests * STEPS_AT_DECODE * (2 * wireBytes.sender + wireBytes.load)),
     ...treeTraffic(facts, control)
   ]
@@ -50,9 +50,9 @@
   const { sidecar, members, loopback } = facts
   return [
     control('cpu', 'lease heartbeats, transport', cores(loopback.heartbeatPeerUs.slope, heartbeatsPerSecond(facts) * ENTRIES_PER_SIDECAR)),
-    control('cpu', 'lease renewals by name, transport', cores(loopback.renewalPeerUs.slope, RENEWALS_PER_SECOND * ENTRIES_PER_SIDECAR)),
+    control('cpu', 'lease renewals by request id, transport', cores(loopback.renewalPeerUs.slope, RENEWALS_PER_SECOND * ENTRIES_PER_SIDECAR)),
     control('cpu', 'lease heartbeats, reducer', cores(sidecar.heartbeatUs.slope, heartbeatsPerSecond(facts) * ENTRIES_PER_SIDECAR)),
-    control('cpu', 'lease renewals by name, reducer', cores(sidecar.renewUs.slope, RENEWALS_PER_SECOND * ENTRIES_PER_SIDECAR)),
+    control('cpu', 'lease renewals by request id, reducer', cores(sidecar.renewUs.slope, RENEWALS_PER_SECOND * ENTRIES_PER_SIDECAR)),
     ...treeCpu(facts, control, members.learnSidecarUs.at(DERIVED.instances), members.changeSidecarUs.at(DERIVED.instances))
   ]
 }
@@ -62,9 +62,9 @@
   return [
     control('memory', 'process with its packages, resident', baseBytes),
     control('memory', 'members', members.memberBytes.at(DERIVED.instances)),
-    control('memory', 'instance list while it is parsed, at first contact', members.listBytes.at(DERIVED.instances)),
-    control('memory', 'connections of entries', times(loopback.connectionPeerBytes.slope, entries)),
-    control('memory', 'configurations, eight kept', times(plus(config.keptBytes.at(SIZE.replicas * ASSUMED.assignedShare), exactly(configBytes.whole)), CONFIGS_KEPT))
+    control('memory', 'instance list during its first parsing', members.listBytes.at(DERIVED.instances)),
+    control('memory', 'connections from entries', times(loopback.connectionPeerBytes.slope, entries)),
+    control('memory', 'the last eight configurations', times(plus(config.keptBytes.at(SIZE.replicas * ASSUMED.assignedShare), exactly(configBytes.whole)), MAX_CONFIGS))
   ]
 }
 
@@ -74,34 +74,36 @@
   return [
     data('cpu', 'decodes, reducer', cores(sidecar.requestUs.slope, SIZE.requestsPerSecond / DERIVED.decodeReplicas)),
     data('cpu', 'decodes, transport of reserve, prefill and decode', cores(loopback.requestPeerUs.slope, SIZE.requestsPerSecond / DERIVED.decodeReplicas)),
-    data('cpu', 'token batches, transport, one token a batch', cores(loopback.tokenPeerUs.slope, SIZE.tokensPerSecond / DERIVED.decodeReplicas)),
-    data('cpu', 'token batches, reducer, one token a batch', cores(sidecar.tokenUs.slope, SIZE.tokensPerSecond / DERIVED.decodeReplicas)),
+    data('cpu', 'token batches, transport, one token per batch', cores(loopback.tokenPeerUs.slope, SIZE.tokensPerSecond / DERIVED.decodeReplicas)),
+    data('cpu', 'token batches, reducer, one token per batch', cores(sidecar.tokenUs.slope, SIZE.tokensPerSecond / DERIVED.decodeReplicas)),
     data('memory', 'reservations with prompt', times(held, OPEN_PER_DECODE))
   ]
 }
 
-/** Keys at one holder, with every request keyed. */
+/** Idempotency keys at one holder. */
 export interface HeldKeys {
+  /** New keys per second. */
   readonly perSecond: number
+  /** Number of stored keys. */
   readonly kept: number
 }
 
 /**
- * Derives the keys that one holder has.
+ * Derives the number of idempotency keys at one holder.
  *
- * @param holders - holders of all pools
- * @returns keys, ended and kept
+ * @param holders - number of holders of all pools
+ * @returns rate of new keys and number of stored keys
  */
 export function keysAtHolder (holders: number): HeldKeys {
   const perSecond = SIZE.requestsPerSecond * ASSUMED.keyedShare / holders
-  return { perSecond, kept: perSecond * KEY_KEPT_SECONDS }
+  return { perSecond, kept: perSecond * KEY_RETENTION_SECONDS }
 }
 
 /**
- * Works out what a key costs its home.
+ * Estimates the memory that a home needs for a key.
  *
- * @param facts - what was measured
- * @returns bytes a key, answer included
+ * @param facts - measured slopes and constants
+ * @returns bytes per key, including the response
  */
 export function bytesPerKey ({ home }: Facts): Estimate {
   const answerBytes = DERIVED.tokensPerRequest * ASSUMED.bytesPerOutputToken
@@ -109,15 +111,15 @@
 }
 
 /**
- * Works out the rows of a home holder, on top of those of a sidecar.
+ * Estimates the costs of a home holder, in addition to those of a sidecar.
  *
- * @param facts - what was measured
+ * @param facts - measured slopes and constants
  * @returns the rows
  */
 export function homeRows (facts: Facts): readonly Row[] {
   const keys = keysAtHolder(SIZE.models * facts.homeCandidates)
   return [
-    homeControl('memory', `keys for ${KEY_KEPT_SECONDS} s, every request keyed`, times(bytesPerKey(facts), keys.kept)),
-    homeData('cpu', 'claims and ends of keys, reducer', cores(facts.home.keyUs.slope, keys.perSecond))
+    homeControl('memory', `keys for ${KEY_RETENTION_SECONDS} s, every request with a key`, times(bytesPerKey(facts), keys.kept)),
+    homeData('cpu', 'claims and settlements of keys, reducer', cores(facts.home.keyUs.slope, keys.perSecond))
   ]
 }
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacitySize.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacitySize.ts
@@ -1,5 +1,6 @@
 /**
- * The size to design for, what follows from it, and what is assumed beside it.
+ * Defines the target size of a deployment, assumptions about values that it does
+ * not specify, quantities derived from both, and the limits.
  *
  * @module
  */
@@ -8,7 +9,7 @@
 const MS_PER_SECOND = 1000
 const SECONDS_PER_DAY = 86_400
 
-/** The size that the users ask to design for. */
+/** Target size of a deployment, as required by the users. */
 export const SIZE = {
   nodes: 840,
   replicas: 12_000,
@@ -26,25 +27,25 @@
   restartsPerDay: 1_900
 } as const
 
-/** What the letter leaves open. Change these and run again. */
+/** Values that the users' requirements leave open. Change them and run the command again to see their effect. */
 export const ASSUMED = {
-  /** Half of the pools of each model prefill, half decode. */
+  /** Half of the pools of each model are prefill pools, the other half decode pools. */
   poolsPerModel: 2,
-  /** KV cache of one token; with the given rate it sets the mean prompt. */
+  /** KV cache of one token; together with the given transfer rate it determines the mean prompt length. */
   kvBytesPerToken: 100_000,
   charsPerToken: 4,
-  /** Hashes of growing prefixes that a prompt of mean length carries. */
+  /** Number of hashes, of prefixes of increasing length, that a request with a mean prompt contains. */
   prefixHashes: 8,
-  /** Part of the replicas whose pool differs from the label in the list. */
+  /** Fraction of the replicas whose pool differs from the one in the instance list. */
   assignedShare: 0.1,
-  /** Part of the requests whose prefill lasts until a renewal by name: those not in time. */
+  /** Fraction of the requests whose prefill takes so long that their lease is renewed by request id: the late ones. */
   renewedShare: 0.05,
-  /** Part of the requests that carry an idempotency key. */
+  /** Fraction of the requests with an idempotency key. */
   keyedShare: 1,
   bytesPerOutputToken: 6
 } as const
 
-/** What follows from {@link SIZE} and {@link ASSUMED}. */
+/** Quantities derived from {@link SIZE} and {@link ASSUMED}. */
 export const DERIVED = {
   instances: SIZE.nodes + SIZE.replicas,
   pools: SIZE.models * ASSUMED.poolsPerModel,
@@ -56,45 +57,46 @@
   promptTokens: Math.round(SIZE.kvBytesPerSecond / SIZE.requestsPerSecond / ASSUMED.kvBytesPerToken),
   changesPerSecond: SIZE.changesPerDay / SECONDS_PER_DAY,
   instanceChangesPerSecond: 2 * (SIZE.failuresPerDay + SIZE.restartsPerDay) / SECONDS_PER_DAY,
-  /** Time from arrival to the last token. */
+  /** Time from the arrival of a request to its last token. */
   openSeconds: (SIZE.firstOutputMs + SIZE.tokensPerSecond / SIZE.requestsPerSecond * SIZE.stepMs) / MS_PER_SECOND
 } as const
 
-/** Requests that one entry has open at the peak. */
+/** Number of open requests at one entry at peak load. */
 export const OPEN_PER_NODE = DERIVED.requestsPerNode * DERIVED.openSeconds
 
-/** Requests that one decode sidecar has open at the peak. */
+/** Number of open requests at one decode sidecar at peak load. */
 export const OPEN_PER_DECODE = SIZE.requestsPerSecond * DERIVED.openSeconds / DERIVED.decodeReplicas
 
 /**
- * Estimates how many of some places are in use when things are put there at
+ * Estimates how many bins are occupied when items are distributed over them at
  * random.
  *
- * @param things - number of things
- * @param places - number of places
- * @returns expected number of places with at least one thing
+ * @param items - number of items
+ * @param bins - number of bins
+ * @returns expected number of bins with at least one item
  */
-export function placesInUse (things: number, places: number): number {
-  return places * (1 - Math.exp(-things / places))
+export function placesInUse (items: number, bins: number): number {
+  return bins * (1 - Math.exp(-items / bins))
 }
 
-/** Places in the tree that hands on the configuration, at a process that has children. */
+/** Distribution tree of the configuration, seen from a process that has children. */
 export const TREE = {
-  /** Mean wait of a question to the parent that brings nothing. */
+  /** Mean duration of a long poll at the parent that returns no change. */
   pullSeconds: 15,
+  /** The parent and the children. */
   neighbours: 1 + CONFIG_FANOUT
 } as const
 
-/** What control may cost a node, and what the key-value service carries. */
+/** Limits for the control traffic of a node, and for the load of the key-value service. */
 export const LIMITS = {
-  /** Part of a core. */
+  /** Fraction of a core. */
   cpu: 0.023,
   /** Bytes. */
   memory: 256e6,
-  /** Bytes a second, both directions together. */
+  /** Bytes per second, sum of both directions. */
   traffic: 5_000,
-  /** Calls a second at the key-value service; a waiting watch counts. */
+  /** Calls per second at the key-value service; a long-polling watch counts as one. */
   reads: 2_000,
-  /** Calls a second; the users say "several hundred". */
+  /** Calls per second; the users' requirement is "several hundred". */
   writes: 300
 } as const
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityTable.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityTable.ts
@@ -1,5 +1,5 @@
 /**
- * The tables that the command prints.
+ * Formats the Markdown tables that the capacity command prints.
  *
  * @module
  */
@@ -9,12 +9,12 @@
 import type { Resource, Row } from './BendfallFakesCapacityRow.js'
 import { LIMITS } from './BendfallFakesCapacitySize.js'
 
-interface Shown {
+interface DisplayUnit {
   readonly unit: string
   readonly factor: number
 }
 
-const SHOWN: Readonly<Record<Resource, Shown>> = {
+const DISPLAY_UNITS: Readonly<Record<Resource, DisplayUnit>> = {
   cpu: { unit: '% of a core', factor: 100 },
   memory: { unit: 'MB', factor: 1e-6 },
   traffic: { unit: 'KB/s', factor: 1e-3 },
@@ -25,16 +25,16 @@
 const SIGNIFICANT_DIGITS = 3
 
 /**
- * Prints slopes with their points.
+ * Formats measurements with their points and fitted slopes.
  *
- * @param slopes - what was measured
+ * @param slopes - measurements and their fitted lines
  * @returns a Markdown table
  */
 export function formatSlopes (slopes: readonly MeasuredSlope[]): string {
   const rows = slopes.map(({ name, unit, per, points, line }) => [
     name,
     points.map(({ size, value }) => `${size}: ${round(value)}`).join(', '),
-    `${round(line.slope.value)} ${unit} a ${per}`,
+    `${round(line.slope.value)} ${unit} per ${per}`,
     round(line.slope.error),
     round(line.intercept)
   ])
@@ -42,42 +42,42 @@
 }
 
 /**
- * Prints rows of the product beside their limits.
+ * Formats cost rows with their limits and verdicts.
  *
- * @param rows - the rows
+ * @param rows - costs or totals
  * @returns a Markdown table
  */
 export function formatProduct (rows: readonly Row[]): string {
-  return formatTable(['role', 'path', 'mechanism', 'at full size', 'error', 'limit', 'verdict'], rows.map(productCells))
+  return formatTable(['role', 'path', 'mechanism', 'at target size', 'error', 'limit', 'verdict'], rows.map(productCells))
 }
 
 function productCells (row: Row): readonly string[] {
-  const { unit, factor } = SHOWN[row.resource]
+  const { unit, factor } = DISPLAY_UNITS[row.resource]
   const limit = limitOf(row.path, row.resource)
   const { value, error } = row.estimate
   return [row.role, row.isFault === true ? 'fault' : row.path, row.mechanism, `${round(value * factor)} ${unit}`, round(error * factor), limit === undefined ? '-' : round(limit * factor), judgeRow(row)]
 }
 
 /**
- * Prints remedies beside the limits.
+ * Formats remedies with the limits and verdicts.
  *
- * @param all - the remedies
+ * @param all - remedies with their costs
  * @returns a Markdown table
  */
 export function formatRemedies (all: readonly Remedy[]): string {
   const titles = ['role', 'change', 'before', 'after', 'limit', 'verdict after']
   return formatTable(titles, all.map(({ role, resource, change, before, after }) => {
-    const { unit, factor } = SHOWN[resource]
+    const { unit, factor } = DISPLAY_UNITS[resource]
     const limit = LIMITS[resource]
     return [role, change, `${round(before.value * factor)} ${unit}`, `${round(after.value * factor)} ${unit}`, round(limit * factor), judge(after, limit)]
   }))
 }
 
 /**
- * Prints a Markdown table.
+ * Formats a Markdown table.
  *
- * @param titles - titles of the columns
- * @param rows - cells, row by row
+ * @param titles - column headers
+ * @param rows - cells of each row
  * @returns the table
  */
 export function formatTable (titles: readonly string[], rows: ReadonlyArray<readonly string[]>): string {
@@ -89,7 +89,7 @@
  * Rounds to a few significant digits.
  *
  * @param value - any number
- * @returns text without exponent
+ * @returns the number with thousands separators and without exponent
  */
 export function round (value: number): string {
   if (Math.abs(value) < 1e-9) return '0'
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityWire.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityWire.ts
@@ -1,5 +1,5 @@
 /**
- * Sizes of the messages between processes, as protobuf, without framing.
+ * Measures the sizes of the protobuf messages between processes, without framing.
  *
  * @module
  */
@@ -19,18 +19,19 @@
 const KV_BYTES = 217_391_304
 const EXPORT_URL = 'http://10.12.34.56:8000/kv'
 const SENDER = { instanceId: 'i-0123456789abcdef', incarnation: REQUEST_ID, configVersion: 54_321, lamport: 1_234_567_890 }
-/** Name and incarnation go in headers, each a byte after the first message of a connection. */
+/** Instance id and incarnation are sent in headers, which take one byte each after the first message of a connection. */
 const SHORT_SENDER = { configVersion: SENDER.configVersion, lamport: SENDER.lamport }
 const SENDER_HEADER_BYTES = 2
 const SHARED = { sender: SHORT_SENDER, requestId: REQUEST_ID, attempt: 1, model: modelName(1), trafficClass: 'interactive' }
 
-/** Bytes of messages, as protobuf. */
+/** Sizes of protobuf messages in bytes. */
 export interface WireBytes {
   readonly sender: number
-  /** Load of a decode and of a prefill replica. */
+  /** Load of a decode replica. */
   readonly load: number
+  /** Load of a prefill replica. */
   readonly prefillLoad: number
-  /** Ask and answer of the three steps of a request, prompt left out. */
+  /** Request and response of each of the three steps of a request, without the prompt. */
   readonly reserve: number
   readonly prefill: number
   readonly decode: number
@@ -39,10 +40,10 @@
 }
 
 /**
- * Makes a renewal.
+ * Encodes a lease renewal.
  *
- * @param count - leases in it
- * @returns the bytes
+ * @param count - number of leases in the message
+ * @returns the encoded message
  */
 export function encodeRenewal (count: number): Uint8Array {
   return toBinary(RenewRequestSchema, create(RenewRequestSchema, { sender: SHORT_SENDER, requestIds: numbers(count).map(() => REQUEST_ID) }))
@@ -83,9 +84,9 @@
 }
 
 /**
- * Measures messages whose size does not depend on the load.
+ * Measures the messages whose size does not depend on the load.
  *
- * @returns bytes
+ * @returns sizes in bytes
  */
 export function measureWire (): WireBytes {
   return {
@@ -100,7 +101,7 @@
   }
 }
 
-/** Slopes of messages over what they carry. */
+/** Measurements of messages over the size of their content. */
 export const WIRE_SLOPES = {
   renewalBytes: { name: 'renewal, protobuf', unit: 'B', per: 'lease', measure: () => pointsAt(ID_COUNTS, (count) => encodeRenewal(count).length) },
   tokenBytes: { name: 'token batch, protobuf', unit: 'B', per: 'token', measure: () => pointsAt(TOKEN_COUNTS, (count) => encodeTokens(count).length) },
