--- a/packages/bendfall-fakes/src/BendfallFakesEngine.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesEngine.ts
@@ -89,12 +89,12 @@
 /**
  * Starts the stand-in.
  *
- * @param given - where to listen, and settings that differ from the defaults
+ * @param overrides - where to listen, and settings that differ from the defaults
  * @returns the running stand-in
  * @throws when the port cannot be bound
  */
-export async function createEngineStandIn (given: EngineOptions = {}): Promise<EngineStandIn> {
-  const options: EngineSettings = { ...DEFAULTS, ...given }
+export async function createEngineStandIn (overrides: EngineOptions = {}): Promise<EngineStandIn> {
+  const options: EngineSettings = { ...DEFAULTS, ...overrides }
   const ledger = createEngineLedger(options.totalKvBytes)
   const faults = createFaultBoard()
   const parts: EngineParts = {
@@ -113,7 +113,7 @@
   const report = createReport(options, ledger)
   const state = (): EngineState => ({ attempts: ledger.view(), usedKvBytes: ledger.usedKvBytes(), requestIds: ledger.requestIds(), ...prefillSide.state(), ...orders.state() })
 
-  const standIn = await startServer(given, {
+  const standIn = await startServer(overrides, {
     faults,
     onClose: () => {
       report.stop()
