--- a/packages/bendfall-fakes/src/BendfallFakesCluster.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesCluster.ts
@@ -91,10 +91,10 @@
   const expectedExits = new Set<ListeningProcess>()
   const connections = createConnections(CONNECT_TIMEOUT_MS)
   const ended = new AbortController()
-  const node = (instanceId: string): RunningNode => find(nodes, instanceId)
-  const standIn = (name: string): ListeningProcess => find(new Map([...fleet.upstreams, ['key-value', fleet.keyValue], ['instances', fleet.instanceList]]), name)
+  const node = (instanceId: string): RunningNode => getByName(nodes, instanceId)
+  const standIn = (name: string): ListeningProcess => getByName(new Map([...fleet.upstreams, ['key-value', fleet.keyValue], ['instances', fleet.instanceList]]), name)
 
-  async function end (process: ListeningProcess, signal: ProcessSignal): Promise<number | null> {
+  async function signalAndWait (process: ListeningProcess, signal: ProcessSignal): Promise<number | null> {
     expectedExits.add(process)
     process.signal(signal)
     return await process.exited
@@ -111,10 +111,10 @@
     node,
     callers: (instanceId) => node(instanceId).process.listening.callers,
     signal: (instanceId, signal) => node(instanceId).process.signal(signal),
-    kill: async (instanceId) => { await end(node(instanceId).process, 'SIGKILL') },
-    terminate: (instanceId) => end(node(instanceId).process, 'SIGTERM'),
+    kill: async (instanceId) => { await signalAndWait(node(instanceId).process, 'SIGKILL') },
+    terminate: (instanceId) => signalAndWait(node(instanceId).process, 'SIGTERM'),
     restart: async (instanceId) => { nodes.set(instanceId, await node(instanceId).restart()) },
-    killUpstream: async (instanceId) => { await end(standIn(instanceId), 'SIGKILL') },
+    killUpstream: async (instanceId) => { await signalAndWait(standIn(instanceId), 'SIGKILL') },
     fail: async (name, fault) => { await callControl(standIn(name), 'fail', fault) },
     heal: async (name) => { await callControl(standIn(name), 'reset', {}) },
     engine: async (instanceId) => await callControl(standIn(instanceId), 'state') as EngineState,
@@ -139,7 +139,7 @@
   }
 }
 
-function find<T> (items: ReadonlyMap<string, T>, name: string): T {
+function getByName<T> (items: ReadonlyMap<string, T>, name: string): T {
   const item = items.get(name)
   if (item === undefined) throw new Error(`unknown process or stand-in of this cluster: ${name}`)
   return item
--- a/packages/bendfall-fakes/src/BendfallFakesDemoSetup.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesDemoSetup.ts
@@ -147,11 +147,11 @@
 }
 
 async function startNodes (resources: FleetResources, settings: readonly NodeSettings[]): Promise<RunningNode[]> {
-  const processes = await startGroup(resources, settings.map((one) => startNode(resources, one)))
-  return processes.map((process, index) => runningNode(resources, settings[index], process))
+  const processes = await startGroup(resources, settings.map((nodeSettings) => startNode(resources, nodeSettings)))
+  return processes.map((process, index) => createRunningNode(resources, settings[index], process))
 }
 
-function runningNode (resources: FleetResources, settings: NodeSettings, process: ListeningProcess): RunningNode {
+function createRunningNode (resources: FleetResources, settings: NodeSettings, process: ListeningProcess): RunningNode {
   const { callers, peers } = process.listening
   const { role, instanceId, availabilityZone, pool = '' } = settings
   return {
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityFit.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityFit.ts
@@ -104,7 +104,7 @@
  * @returns the median; for an even number of values the upper one of the middle two
  */
 export function medianOf (values: readonly number[]): number {
-  return [...values].sort((one, other) => one - other)[values.length >> 1]
+  return [...values].sort((left, right) => left - right)[values.length >> 1]
 }
 
 function meanOf (values: readonly number[]): number {
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityLoopback.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityLoopback.ts
@@ -41,7 +41,7 @@
   | 'requestBytes' | 'requestUs' | 'requestPeerUs'
   | 'tokenBytes' | 'tokenUs' | 'tokenPeerUs'
 
-type Work = (client: Client, count: number) => Promise<void>
+type Workload = (client: Client, count: number) => Promise<void>
 
 interface Cost {
   readonly bytes: readonly Point[]
@@ -70,11 +70,11 @@
   const peer = fork(new URL('./BendfallFakesCapacityPeer.js', import.meta.url), { execArgv: ['--expose-gc'] })
   try {
     const addresses = await sendRequest<PeerAddresses>(peer, { type: 'listen', count: Math.max(...CONNECTION_COUNTS) })
-    const heartbeat = await measureWork(peer, addresses, MESSAGE_COUNTS, sendHeartbeats)
-    const renewal = await measureWork(peer, addresses, MESSAGE_COUNTS, sendRenewals)
-    const poll = await measureWork(peer, addresses, MESSAGE_COUNTS, pollConfig)
-    const request = await measureWork(peer, addresses, REQUEST_COUNTS, runRequests)
-    const token = await measureWork(peer, addresses, TOKEN_COUNTS, streamTokens)
+    const heartbeat = await measureWorkload(peer, addresses, MESSAGE_COUNTS, sendHeartbeats)
+    const renewal = await measureWorkload(peer, addresses, MESSAGE_COUNTS, sendRenewals)
+    const poll = await measureWorkload(peer, addresses, MESSAGE_COUNTS, pollConfig)
+    const request = await measureWorkload(peer, addresses, REQUEST_COUNTS, runRequests)
+    const token = await measureWorkload(peer, addresses, TOKEN_COUNTS, streamTokens)
     const connection = await measureConnections(peer, addresses)
     return {
       heartbeatBytes: { name: 'heartbeat on the wire, both directions', unit: 'B', per: 'exchange', points: heartbeat.bytes },
@@ -131,21 +131,21 @@
 }
 
 // Bytes are counted through the relay; CPU time is measured without it.
-async function measureWork (peer: ChildProcess, addresses: PeerAddresses, counts: readonly number[], work: Work): Promise<Cost> {
+async function measureWorkload (peer: ChildProcess, addresses: PeerAddresses, counts: readonly number[], workload: Workload): Promise<Cost> {
   const bytes: Point[] = []
   const us: Point[] = []
   const peerUs: Point[] = []
   const relayed = createClient(addresses.relay)
   const direct = createClient(addresses.sidecars[0])
-  await work(relayed, WARM_UP)
-  await work(direct, WARM_UP)
+  await workload(relayed, WARM_UP)
+  await workload(direct, WARM_UP)
   for (const count of counts) {
     const before = await sendRequest<PeerUsage>(peer, { type: 'usage' })
-    await work(relayed, count)
+    await workload(relayed, count)
     const counted = await sendRequest<PeerUsage>(peer, { type: 'usage' })
     bytes.push({ size: count, value: counted.relayedBytes - before.relayedBytes })
     const own = process.cpuUsage()
-    await work(direct, count)
+    await workload(direct, count)
     const { user, system } = process.cpuUsage(own)
     const after = await sendRequest<PeerUsage>(peer, { type: 'usage' })
     us.push({ size: count, value: user + system })
@@ -162,7 +162,7 @@
   await responded
 }
 
-const sendRenewals: Work = async (client, count) => {
+const sendRenewals: Workload = async (client, count) => {
   const requestIds = numbers(STREAMS).map(idOf)
   for (let iteration = 0; iteration < count; iteration++) {
     const responded = client.answered()
@@ -171,18 +171,18 @@
   }
 }
 
-const sendHeartbeats: Work = async (client, count) => {
+const sendHeartbeats: Workload = async (client, count) => {
   await pollConfig(client, 1)
   const connection = client.connections.to(client.address)
   for (let iteration = 0; iteration < count; iteration++) await new Promise<void>((resolve) => connection.heartbeat(resolve))
 }
 
-const pollConfig: Work = async (client, count) => {
+const pollConfig: Workload = async (client, count) => {
   const peers = createConfigPeers(client.connections, client.stub.sender)
   for (let iteration = 0; iteration < count; iteration++) await peers.fetchConfig(client.address, { haveVersion: 54_321, waitMs: 20_000, takesPatch: true, list: { haveRevision: '12840-89abcdef-01234567', haveAgeMs: 20_000.5 } })
 }
 
-const runRequests: Work = async (client, count) => {
+const runRequests: Workload = async (client, count) => {
   for (let index = 0; index < count; index++) {
     const shared = { requestId: idOf(index), attempt: 1, entryId: '', model: modelName(1), trafficClass: 'interactive' } as const
     await runEffect(client, { type: 'send_reserve', instanceId: SIDECAR, ask: { ...shared, entryIncarnation: '', clientId: 'client-123', kvBytes: 217_391_304, maxOutputTokens: 1_000, maxReadyInMs: 987.5, neededInMs: 234.5 } }, 'reserve_replied')
@@ -192,7 +192,7 @@
 }
 
 // All streams between one sidecar and one entry run in step, like the streams of one engine.
-const streamTokens: Work = async (client, count) => {
+const streamTokens: Workload = async (client, count) => {
   let ended = 0
   const all = new Promise<void>((resolve) => {
     const remove = client.stub.runtime.registerListener((event) => {
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityPeer.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityPeer.ts
@@ -48,7 +48,7 @@
   from.on('error', () => to.destroy())
 }
 
-async function listenRelay (target: string): Promise<string> {
+async function startRelay (target: string): Promise<string> {
   const { hostname, port } = new URL(`http://${target}`)
   const server = createServer({ noDelay: true }, (downstream) => {
     const upstream = connect({ host: hostname, port: Number(port), noDelay: true })
@@ -59,7 +59,7 @@
   return `127.0.0.1:${(server.address() as AddressInfo).port}`
 }
 
-async function listenSidecar (): Promise<string> {
+async function startSidecar (): Promise<string> {
   const stub = createStub('i-sidecar', [], (event) => handleEvent(event))
   const handleEvent = (event: Event): readonly Effect[] => {
     if (event.type === 'decode_asked') setTimeout(() => relayToken(event.ask.requestId, event.ask.maxOutputTokens, 0), STEP_MS)
@@ -86,8 +86,8 @@
 
 async function listen (count: number): Promise<PeerAddresses> {
   const sidecars: string[] = []
-  while (sidecars.length < count) sidecars.push(await listenSidecar())
-  return { sidecars, relay: await listenRelay(sidecars[0]) }
+  while (sidecars.length < count) sidecars.push(await startSidecar())
+  return { sidecars, relay: await startRelay(sidecars[0]) }
 }
 
 function readUsage (): PeerUsage {
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacitySidecar.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacitySidecar.ts
@@ -23,7 +23,7 @@
 const KV_BYTES = 217e6
 const TOTAL_KV_BYTES = 1e15
 const SLOTS = 16
-const FAR_MS = 1e12
+const FAR_FUTURE_MS = 1e12
 const POOL = poolName(1)
 const MODEL = modelName(0)
 const ENTRY_ID = 'i-entry'
@@ -109,7 +109,7 @@
 function createHome (): Driven {
   const driven = createReadySidecar()
   const slots = numbers(SLOTS).map((slot) => ({ slot, epoch: 3, sinceWallMs: 0 }))
-  driven.send({ type: 'home_lease_changed', atMs: 1, pool: POOL, slots, holders: [], validUntilMs: FAR_MS, wallMs: 1 })
+  driven.send({ type: 'home_lease_changed', atMs: 1, pool: POOL, slots, holders: [], validUntilMs: FAR_FUTURE_MS, wallMs: 1 })
   return driven
 }
 
@@ -117,19 +117,19 @@
   return { requestId: idOf(index), entryId: ENTRY_ID, pool: POOL, idempotencyKey: `018f0000-${idOf(index)}`, keyIssuedAtMs: 1, bodyDigest: `digest-${index}`.padEnd(43, 'x'), maxWaitMs: 10_000 }
 }
 
-function claimAndSettleKeys (driven: Driven, count: number, answerBytes: number): void {
+function claimAndSettleKeys (driven: Driven, count: number, responseBytes: number): void {
   for (let index = 0; index < count; index++) {
     const ask = createClaim(index)
     driven.send({ type: 'key_claim_asked', atMs: 2, ask })
-    const result = { type: 'answered', body: new Uint8Array(answerBytes) } as const
+    const result = { type: 'answered', body: new Uint8Array(responseBytes) } as const
     driven.send({ type: 'key_settled', atMs: 3, requestId: ask.requestId, pool: POOL, idempotencyKey: ask.idempotencyKey, result })
   }
 }
 
-function keyBytes (count: number, answerBytes: number): number {
+function keyBytes (count: number, responseBytes: number): number {
   return retainedBytes(() => {
     const driven = createHome()
-    claimAndSettleKeys(driven, count, answerBytes)
+    claimAndSettleKeys(driven, count, responseBytes)
     return driven
   })
 }
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacitySidecarRows.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacitySidecarRows.ts
@@ -106,8 +106,8 @@
  * @returns bytes per key, including the response
  */
 export function bytesPerKey ({ home }: Facts): Estimate {
-  const answerBytes = DERIVED.tokensPerRequest * ASSUMED.bytesPerOutputToken
-  return plus(home.keyBytes.slope, times(home.answerBytes.slope, answerBytes))
+  const responseBytes = DERIVED.tokensPerRequest * ASSUMED.bytesPerOutputToken
+  return plus(home.keyBytes.slope, times(home.answerBytes.slope, responseBytes))
 }
 
 /**
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityTable.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityTable.ts
@@ -61,12 +61,12 @@
 /**
  * Formats remedies with the limits and verdicts.
  *
- * @param all - remedies with their costs
+ * @param remedies - design changes with their costs
  * @returns a Markdown table
  */
-export function formatRemedies (all: readonly Remedy[]): string {
+export function formatRemedies (remedies: readonly Remedy[]): string {
   const titles = ['role', 'change', 'before', 'after', 'limit', 'verdict after']
-  return formatTable(titles, all.map(({ role, resource, change, before, after }) => {
+  return formatTable(titles, remedies.map(({ role, resource, change, before, after }) => {
     const { unit, factor } = DISPLAY_UNITS[resource]
     const limit = LIMITS[resource]
     return [role, change, `${round(before.value * factor)} ${unit}`, `${round(after.value * factor)} ${unit}`, round(limit * factor), judge(after, limit)]
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityWire.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityWire.ts
@@ -59,23 +59,23 @@
 }
 
 function reserveBytes (): number {
-  const ask = { ...SHARED, clientId: 'client-123', kvBytes: KV_BYTES, maxOutputTokens: 1_000, maxReadyInMs: 987.6, neededInMs: 234.5 }
+  const request = { ...SHARED, clientId: 'client-123', kvBytes: KV_BYTES, maxOutputTokens: 1_000, maxReadyInMs: 987.6, neededInMs: 234.5 }
   const grant = { readyInMs: 12.5, leaseMs: 10_000, fencingToken: 123_456 }
-  return toBinary(ReserveRequestSchema, create(ReserveRequestSchema, ask)).length +
+  return toBinary(ReserveRequestSchema, create(ReserveRequestSchema, request)).length +
     toBinary(ReserveResponseSchema, create(ReserveResponseSchema, { sender: SHORT_SENDER, load: toLoadView(DECODE_LOAD), result: { case: 'grant', value: grant } })).length
 }
 
 function prefillBytes (): number {
-  const ask = { ...SHARED, promptTokens: DERIVED.promptTokens, prefixHashes: numbers(ASSUMED.prefixHashes).map(() => '0123456789abcdef'), maxWaitMs: 987.6, expectedTokens: 1_150 }
+  const request = { ...SHARED, promptTokens: DERIVED.promptTokens, prefixHashes: numbers(ASSUMED.prefixHashes).map(() => '0123456789abcdef'), maxWaitMs: 987.6, expectedTokens: 1_150 }
   const done = { handle: REQUEST_ID, exportUrl: EXPORT_URL, kvBytes: KV_BYTES, cachedTokens: 1_024, evictsInMs: 800 }
-  return toBinary(PrefillRequestSchema, create(PrefillRequestSchema, ask)).length +
+  return toBinary(PrefillRequestSchema, create(PrefillRequestSchema, request)).length +
     toBinary(PrefillResponseSchema, create(PrefillResponseSchema, { sender: SHORT_SENDER, load: toLoadView(PREFILL_LOAD), result: { case: 'done', value: done } })).length
 }
 
 function decodeBytes (): number {
-  const ask = { ...SHARED, fencingToken: 123_456, handle: REQUEST_ID, exportUrl: EXPORT_URL, kvBytes: KV_BYTES, maxOutputTokens: 1_000 }
+  const request = { ...SHARED, fencingToken: 123_456, handle: REQUEST_ID, exportUrl: EXPORT_URL, kvBytes: KV_BYTES, maxOutputTokens: 1_000 }
   const end = { sender: SHORT_SENDER, load: toLoadView(DECODE_LOAD), finished: true, tokenCount: 478 }
-  return toBinary(DecodeRequestSchema, create(DecodeRequestSchema, ask)).length +
+  return toBinary(DecodeRequestSchema, create(DecodeRequestSchema, request)).length +
     toBinary(DecodeResponseSchema, create(DecodeResponseSchema, { item: { case: 'end', value: end } })).length
 }
 
