--- a/packages/bendfall-fakes/src/BendfallFakesCapacity.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesCapacity.ts
@@ -1,6 +1,7 @@
 /**
- * Measures slopes on this machine and works out what the design costs at the
- * size to design for. Start with `--expose-gc`.
+ * Entry point of `npm run capacity`: measures the cost of each mechanism on
+ * this machine and extrapolates it to the target size of a deployment. Needs
+ * `node --expose-gc`.
  *
  * @module
  */
@@ -19,6 +20,6 @@
 console.log(`Node.js ${process.version}, ${cpus().length} cores, load average ${loadavg()[0].toFixed(1)} at the end of the measurements.\n`)
 console.log(`## Slopes\n\n${formatSlopes(slopes)}\n`)
 console.log(`## Constants\n\n${JSON.stringify({ ...facts.wireBytes, ...facts.constants, ...facts.timings, config: facts.configBytes }, undefined, 2)}\n`)
-console.log(`## Product\n\n${formatProduct(rows)}\n`)
-console.log(`## Sums\n\n${formatProduct(sumRows(rows))}\n`)
+console.log(`## Costs at target size\n\n${formatProduct(rows)}\n`)
+console.log(`## Totals\n\n${formatProduct(sumRows(rows))}\n`)
 console.log(`## Remedies\n\n${formatRemedies(remedies(facts))}`)
