--- a/packages/bendfall-fakes/src/fleet/BendfallFakesFleetConfig.ts
+++ b/packages/bendfall-fakes/src/fleet/BendfallFakesFleetConfig.ts
@@ -1,15 +1,15 @@
 /**
- * Configuration that the soak and the fuzzer of answers run under: a stream that
- * may run once, one that may be resumed, a lookup and a booking.
+ * Configuration document shared by the soak and the response fuzzer, with one route of each kind: a stream
+ * that may run once, a resumable stream, an idempotent lookup and a non-idempotent booking.
  *
  * @module
  */
 
-/** What differs between them. */
+/** Values in which the configurations of the soak and the fuzzer differ. */
 export interface FleetConfigOptions {
   readonly host: string
   readonly timeoutMs: number
-  /** Of calls without a prompt; those of prompts when absent. */
+  /** Timeouts of the routes without a prompt; the values of the prompt routes when absent. */
   readonly plain?: { readonly timeoutMs: number, readonly targetLatencyMs: number }
   readonly handleTtlS: number
   readonly maxBodyBytes: number
@@ -18,10 +18,10 @@
 const TARGET_LATENCY_MS = 900
 
 /**
- * Makes the configuration as operators write it.
+ * Creates the configuration in the format that operators write.
  *
- * @param options - what differs
- * @returns a document for the store
+ * @param options - host, timeouts and limits
+ * @returns the document to put into the store
  */
 export function createFleetConfig ({ handleTtlS, host, maxBodyBytes, plain, timeoutMs }: FleetConfigOptions): object {
   const route = { host, 'timeout-ms': timeoutMs, 'target-latency-ms': TARGET_LATENCY_MS, priority: 1 }
--- a/packages/bendfall-fakes/src/fleet/BendfallFakesFleetReplica.ts
+++ b/packages/bendfall-fakes/src/fleet/BendfallFakesFleetReplica.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in of a replica on the users' platform: a model replica that reads
- * prompts or makes events within its memory, or a plain one.
+ * Stand-in for a replica on the users' platform: a model replica that processes prompts (prefill) or
+ * streams events within its memory (decode), or a plain replica without a stage.
  *
  * @module
  */
@@ -9,96 +9,96 @@
 import { answerJson, startFleetServer } from './BendfallFakesFleetServer.js'
 import type { FleetServer } from './BendfallFakesFleetServer.js'
 
-/** What a replica is. */
+/** Identity and behavior of a replica. */
 export interface FleetReplicaOptions {
   readonly host: string
   readonly replicaId: string
   readonly stage?: 'prefill' | 'decode'
   readonly memoryTokens?: number
-  /** Events of an answer. */
+  /** Number of events in a streamed response. */
   readonly events?: number
   readonly eventMs?: number
-  /** Time of an answer without a prompt. */
+  /** Delay of the response to a call without a prompt. */
   readonly answerMs?: number
-  /** Whether a request ends the process a short time after its run began, unanswered. */
+  /** Returns whether a request crashes the process shortly after it started to run, without a response. */
   readonly crashesOn?: (request: SeenRequest) => boolean
-  /** Called when the process has ended. */
+  /** Called after the simulated process has crashed. */
   readonly onCrash?: () => void
-  /** Whether it starts again at once under its id when it has ended. */
+  /** Whether the process restarts under the same id immediately after a crash. */
   readonly isRestarted?: boolean
 }
 
 /** How a replica fails its next request. */
 export type FleetReplicaFault = 'not_run' | 'reset' | 'garbled' | 'other_request' | 'unsigned' | 'break_off'
 
-/** What a replica saw of a request. */
+/** A request that arrived at a replica. */
 export interface SeenRequest {
   readonly requestId: string
-  /** Monotonic time of its arrival. */
+  /** Monotonic time of arrival. */
   readonly atMs: number
   readonly kind: 'prefill' | 'run'
   readonly headers: IncomingMessage['headers']
   readonly path: string
   readonly body: string
   isAborted: boolean
-  /** Whether the replica said that it did not run the request. */
+  /** Whether the replica responded that it did not run the request. */
   isRefused: boolean
-  /** Handle of the prompt that was read. */
+  /** Handle of the processed prompt. */
   handle?: string
 }
 
-/** An order to change the stage, as it arrived. */
+/** A received order to change the stage. */
 export interface SeenOrder {
-  /** Monotonic time. */
+  /** Monotonic time of arrival. */
   readonly atMs: number
   readonly fence: number
   readonly holder: string
   readonly stage: 'prefill' | 'decode'
 }
 
-/** A limit on the requests of all entries together, while the replica names it. */
+/** A limit on the total request rate of all entries, with the time for which the replica advertised it. */
 export interface NamedLimit {
   readonly perS: number
   /** Monotonic time. */
   readonly fromMs: number
-  /** Absent while it is named. */
+  /** Monotonic time; absent while the limit is advertised. */
   untilMs?: number
 }
 
 /** The stand-in. */
 export interface FleetReplica extends FleetServer {
-  /** Limits in the order in which it named them. */
+  /** Limits in the order in which the replica advertised them. */
   readonly limits: readonly NamedLimit[]
-  /** Monotonic times of the calls that routers make for themselves, without reports. */
+  /** Monotonic times of the routers' control calls other than report polls. */
   readonly ownCallsAtMs: readonly number[]
-  /** From now on each answer names this limit; undefined lifts it. */
+  /** Advertises this limit, in requests per second, in each further response; undefined lifts it. */
   readonly nameLimit: (perS: number | undefined) => void
-  /** From now on each answer has this text where a limit is named; undefined ends it. */
+  /** Sets the raw value of the limit header of each further response; undefined removes the header. */
   readonly sayLimit: (text: string | undefined) => void
-  /** Orders, also those that it refused for a fence lower than one it saw. */
+  /** All orders, including those rejected because their fencing token is lower than one received before. */
   readonly orders: readonly SeenOrder[]
   readonly seen: readonly SeenRequest[]
-  /** Fails the next request that it is asked to run. */
+  /** Injects a fault into the next run request. */
   readonly failNext: (fault: FleetReplicaFault) => void
   /**
-   * From now on each answer but a stream comes a second time, when the next request is on
-   * its connection and before that one's answer.
+   * Sends each further response other than a stream a second time: when the next request arrives on
+   * the connection, before its response.
    */
   readonly answerTwice: () => void
-  /** From now on each answer says that the replica leaves. */
+  /** Reports in each further response that the replica is leaving. */
   readonly sayLeaving: () => void
-  /** Refuses all requests as not run, and asks for a backoff of so many seconds; 0 ends it. */
+  /** Refuses all requests as not run, with a backoff of this many seconds in `Retry-After`; 0 ends it. */
   readonly askForBackoff: (seconds: number) => void
-  /** Forgets faults that no request met, and answers once. */
+  /** Discards pending faults, duplicated responses, the backoff and the advertised limit. */
   readonly heal: () => void
   readonly stage: () => string | undefined
-  /** Start of its process, Unix milliseconds. */
+  /** Start time of the simulated process, Unix milliseconds. */
   readonly startedAtMs: () => number
-  /** Starts again under its id and address: it knows nothing of before, and its connections are reset. */
+  /** Restarts the process under the same id and address: its state is lost and its connections are reset. */
   readonly restart: () => void
-  /** Ends the process: connections are reset and new ones refused. */
+  /** Crashes the process: connections are reset and, unless it restarts, new ones are refused. */
   readonly crash: () => void
-  /** Requests that run now. */
+  /** @returns the number of streams in progress */
   readonly running: () => number
 }
 
@@ -114,10 +114,10 @@
 }
 
 /**
- * Starts the stand-in.
+ * Starts a replica on a free port.
  *
- * @param options - what it is
- * @returns the stand-in once it listens
+ * @param options - identity and behavior
+ * @returns the replica once it listens
  */
 export async function startFleetReplica (options: FleetReplicaOptions): Promise<FleetReplica> {
   const { answerMs = 0, crashesOn = () => false, eventMs = 5, events = 6, isRestarted = false, memoryTokens = 20_000, onCrash = () => {}, replicaId } = options
@@ -170,7 +170,7 @@
     return one
   }
 
-  // Replicas echo the id of a request in each answer to it, whatever its status.
+  // Replicas echo the request id in each response, whatever its status.
   function answer (request: IncomingMessage, response: ServerResponse, status: number, body: string, headers: Readonly<Record<string, string>> = {}): void {
     const all = { 'x-request-id': String(request.headers['x-request-id']), 'content-length': String(Buffer.byteLength(body)), ...headers }
     response.writeHead(status, all)
@@ -261,7 +261,7 @@
   }
 
   function restart (): void {
-    // Restarts within one millisecond are two incarnations as well.
+    // Two restarts within one millisecond must still be different incarnations.
     startedAtMs = Math.max(Date.now(), startedAtMs + 1)
     stage = options.stage
     isLeaving = false
--- a/packages/bendfall-fakes/src/fleet/BendfallFakesFleetServer.ts
+++ b/packages/bendfall-fakes/src/fleet/BendfallFakesFleetServer.ts
@@ -1,5 +1,6 @@
 /**
- * HTTP server of the stand-ins for the users' platform.
+ * HTTP server that the stand-ins for the users' platform are built on: it buffers request bodies
+ * and can reset all open connections, as a crashing process does.
  *
  * @module
  */
@@ -7,25 +8,25 @@
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { AddressInfo, Socket } from 'node:net'
 
-/** A stand-in that listens. */
+/** A listening stand-in. */
 export interface FleetServer {
   /** `ip:port`. */
   readonly address: string
-  /** Resets all connections, as the end of the process does. */
+  /** Resets all connections, as the kernel does when a process ends. */
   readonly resetAll: () => void
-  /** Listens no longer and resets all connections: new ones are refused. */
+  /** Stops listening and resets all connections, so that new ones are refused. */
   readonly stop: () => void
   readonly close: () => Promise<void>
 }
 
-/** Takes a whole request. */
+/** Handles a request whose body is complete. */
 export type FleetHandler = (request: IncomingMessage, body: Buffer, response: ServerResponse) => void
 
 /**
- * Starts a server.
+ * Starts a server on a free port.
  *
  * @param host - loopback address to listen on
- * @param handle - takes each request
+ * @param handle - called with each complete request
  * @returns the server once it listens
  */
 export async function startFleetServer (host: string, handle: FleetHandler): Promise<FleetServer> {
@@ -56,12 +57,12 @@
 }
 
 /**
- * Answers with JSON.
+ * Sends a JSON response.
  *
- * @param response - answer that has not begun
+ * @param response - response whose head has not been sent
  * @param status - HTTP status
- * @param body - JSON value
- * @param headers - further headers
+ * @param body - value to serialize
+ * @param headers - additional headers
  */
 export function answerJson (response: ServerResponse, status: number, body: unknown, headers: Readonly<Record<string, string>> = {}): void {
   response.writeHead(status, { 'content-type': 'application/json', ...headers })
--- a/packages/bendfall-fakes/src/fleet/BendfallFakesFleetStore.ts
+++ b/packages/bendfall-fakes/src/fleet/BendfallFakesFleetStore.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in of the store of the users' platform: keys with revisions, pages,
- * watches, conditional writes and leases.
+ * Stand-in for the key-value store of the users' platform, with revisions, paged ranges, watches,
+ * conditional writes, leases and restores from a backup.
  *
  * @module
  */
@@ -29,30 +29,30 @@
 
 /** The stand-in. */
 export interface FleetStore extends FleetServer {
-  /** Writes as the operator or a replica does. */
+  /** Writes a document without a lease, as an operator or a replica does. */
   readonly put: (key: string, value: unknown) => void
   readonly remove: (key: string) => void
-  /** Answers all calls with this status until called with undefined. */
+  /** Responds to all calls with this status until called with undefined. */
   readonly fail: (status: number | undefined) => void
-  /** Forgets the history before now, so that watches get 410. */
+  /** Discards the change history, so that watches from an older revision get 410. */
   readonly compact: () => void
   /**
-   * Goes away, and comes back from a copy in the next era: what was written since the copy
-   * is gone, leases too, and its revisions and lease numbers are given out again.
+   * Simulates an outage followed by a restore from a backup, which begins the next era: writes and leases
+   * made after the backup are lost, and their revisions and lease numbers are reused.
    */
   readonly restore: (drill: { readonly copyAgeMs: number, readonly awayMs: number }) => Promise<void>
-  /** @returns the era in its answers */
+  /** @returns the era that responses carry */
   readonly era: () => number
-  /** @returns number of calls so far */
+  /** @returns the number of calls received so far */
   readonly calls: () => number
-  /** @returns what lies in it */
+  /** @returns all stored keys with their decoded values */
   readonly documents: () => ReadonlyArray<{ readonly key: string, readonly value: string }>
 }
 
-/** Copies are kept for this long. */
+/** Retention time of backups. */
 const COPIES_MS = 10_000
 
-/** State of the store at a moment. */
+/** Snapshot of the store. */
 interface Copy {
   readonly atMs: number
   readonly items: ReadonlyMap<string, Item>
@@ -62,10 +62,10 @@
 }
 
 /**
- * Starts the stand-in.
+ * Starts the store on a free port.
  *
  * @param host - loopback address to listen on
- * @returns the stand-in once it listens
+ * @returns the store once it listens
  */
 export async function startFleetStore (host: string): Promise<FleetStore> {
   const items = new Map<string, Item>()
--- a/packages/bendfall-fakes/src/fleet/BendfallFakesRateJudge.ts
+++ b/packages/bendfall-fakes/src/fleet/BendfallFakesRateJudge.ts
@@ -1,31 +1,31 @@
 /**
- * Judges whether a replica that names a limit got more than the platform allows, by what
- * arrived there and by when each entry had heard of it.
+ * Checks whether a replica that advertises a request rate limit received more requests than the
+ * platform allows, from the arrivals at the replica and the time at which each entry learned the limit.
  *
  * @module
  */
 import type { FleetReplica, NamedLimit } from './BendfallFakesFleetReplica.js'
 
-/** An answer that an entry passed on to a caller; times are monotonic. */
+/** A response that an entry forwarded to a caller; times are monotonic. */
 export interface PassedAnswer {
   readonly requestId: string
   readonly entry: string
-  /** When the caller had its head. */
+  /** When the caller received the response head. */
   readonly answeredAtMs: number
-  /** Replica that vouches for it; absent: the entry's own answer. */
+  /** Replica that signed the response; absent if the entry generated it. */
   readonly replicaId?: string
 }
 
-/** What is judged. */
+/** Observations at one replica and its callers. */
 export interface RateEvidence {
   readonly replica: Pick<FleetReplica, 'limits' | 'seen'>
   readonly replicaId: string
   readonly answers: readonly PassedAnswer[]
-  /** Arrivals of entries for which this is false are left out. */
+  /** Returns whether an arrival counts; arrivals for which it returns false are ignored. */
   readonly isCounted?: (atMs: number, entry: string) => boolean
 }
 
-/** A window with more arrivals than are allowed, if over is above 0. */
+/** Arrivals in a window; the limit is exceeded if `over` is above 0. */
 export interface RateWindow {
   readonly perS: number
   readonly atMs: number
@@ -33,18 +33,23 @@
   readonly over: number
 }
 
-/** The rule: arrivals of a window from entries that had heard of the limit this long before. */
+/** Length of the sliding window in which arrivals are counted. */
 export const RATE_WINDOW_MS = 4_000
-const CONTACT_MS = 3_000
-const TOLD_MS = 500
+
+/** Windows are checked from this time after the first entry learned the limit. */
+const PROPAGATION_MS = 3_000
+
+/** Arrivals from an entry count from this time after that entry learned the limit. */
+const REACTION_MS = 500
+
 const ALLOWED_FACTOR = 1.5
-const ALLOWED_BESIDE = 5
+const ALLOWED_EXTRA_REQUESTS = 5
 
 /**
- * Finds the window that is furthest over its limit.
+ * Finds the window that exceeds its limit the most.
  *
- * @param evidence - of one replica
- * @returns the window; undefined when no limit was named for long enough
+ * @param evidence - observations at one replica
+ * @returns the window; undefined when no limit was advertised for long enough
  */
 export function findWorstWindow (evidence: RateEvidence): RateWindow | undefined {
   const windows = evidence.replica.limits.flatMap((limit) => windowsOf(evidence, limit))
@@ -54,7 +59,8 @@
 function windowsOf ({ answers, isCounted = () => true, replica, replicaId }: RateEvidence, { fromMs, perS, untilMs = Infinity }: NamedLimit): RateWindow[] {
   const entryOf = new Map(answers.map(({ entry, requestId }) => [requestId, entry]))
   const told = new Map<string, number>()
-  // One that was answered before the limit was named may be passed on later.
+  // A response that the replica sent before it advertised the limit may be forwarded later, so only
+  // responses to requests that arrived while it was advertised show that an entry learned it.
   const sentAfter = new Set(replica.seen.filter(({ atMs }) => atMs >= fromMs && atMs < untilMs).map(({ requestId }) => requestId))
   for (const { answeredAtMs, entry, replicaId: from, requestId } of answers) {
     if (from === replicaId && sentAfter.has(requestId)) told.set(entry, Math.min(answeredAtMs, told.get(entry) ?? Infinity))
@@ -62,9 +68,9 @@
   const firstToldMs = Math.min(...told.values())
   const arrivals = replica.seen
     .map(({ atMs, requestId }) => ({ atMs, entry: entryOf.get(requestId) ?? '' }))
-    .filter(({ atMs, entry }) => atMs >= (told.get(entry) ?? Infinity) + TOLD_MS && atMs < untilMs && isCounted(atMs, entry))
-  const allowed = ALLOWED_FACTOR * perS * RATE_WINDOW_MS / 1_000 + ALLOWED_BESIDE
-  return arrivals.filter(({ atMs }) => atMs >= firstToldMs + CONTACT_MS).map(({ atMs }) => {
+    .filter(({ atMs, entry }) => atMs >= (told.get(entry) ?? Infinity) + REACTION_MS && atMs < untilMs && isCounted(atMs, entry))
+  const allowed = ALLOWED_FACTOR * perS * RATE_WINDOW_MS / 1_000 + ALLOWED_EXTRA_REQUESTS
+  return arrivals.filter(({ atMs }) => atMs >= firstToldMs + PROPAGATION_MS).map(({ atMs }) => {
     const arrived = arrivals.filter((one) => one.atMs > atMs - RATE_WINDOW_MS && one.atMs <= atMs).length
     return { perS, atMs, arrived, over: Math.ceil(arrived - allowed) }
   })
