--- a/packages/bendfall-fakes/src/fleet/BendfallFakesFleetReplica.ts
+++ b/packages/bendfall-fakes/src/fleet/BendfallFakesFleetReplica.ts
@@ -6,7 +6,7 @@
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { Socket } from 'node:net'
-import { answerJson, startFleetServer } from './BendfallFakesFleetServer.js'
+import { sendJson, startFleetServer } from './BendfallFakesFleetServer.js'
 import type { FleetServer } from './BendfallFakesFleetServer.js'
 
 /** Identity and behavior of a replica. */
@@ -25,7 +25,7 @@
   /** Called after the simulated process has crashed. */
   readonly onCrash?: () => void
   /** Whether the process restarts under the same id immediately after a crash. */
-  readonly isRestarted?: boolean
+  readonly restartsAfterCrash?: boolean
 }
 
 /** How a replica fails its next request. */
@@ -57,7 +57,7 @@
 }
 
 /** A limit on the total request rate of all entries, with the time for which the replica advertised it. */
-export interface NamedLimit {
+export interface AdvertisedLimit {
   readonly perS: number
   /** Monotonic time. */
   readonly fromMs: number
@@ -68,9 +68,9 @@
 /** The stand-in. */
 export interface FleetReplica extends FleetServer {
   /** Limits in the order in which the replica advertised them. */
-  readonly limits: readonly NamedLimit[]
+  readonly limits: readonly AdvertisedLimit[]
   /** Monotonic times of the routers' control calls other than report polls. */
-  readonly ownCallsAtMs: readonly number[]
+  readonly controlCallsAtMs: readonly number[]
   /** Advertises this limit, in requests per second, in each further response; undefined lifts it. */
   readonly nameLimit: (perS: number | undefined) => void
   /** Sets the raw value of the limit header of each further response; undefined removes the header. */
@@ -120,20 +120,20 @@
  * @returns the replica once it listens
  */
 export async function startFleetReplica (options: FleetReplicaOptions): Promise<FleetReplica> {
-  const { answerMs = 0, crashesOn = () => false, eventMs = 5, events = 6, isRestarted = false, memoryTokens = 20_000, onCrash = () => {}, replicaId } = options
+  const { answerMs = 0, crashesOn = () => false, eventMs = 5, events = 6, restartsAfterCrash = false, memoryTokens = 20_000, onCrash = () => {}, replicaId } = options
   const seen: SeenRequest[] = []
   const orders: SeenOrder[] = []
   const runs = new Map<string, Run>()
   const handles = new Set<string>()
   const faults: FleetReplicaFault[] = []
-  const secondAnswers = new WeakMap<Socket, string>()
-  let isAnsweringTwice = false
+  const pendingDuplicates = new WeakMap<Socket, string>()
+  let isDuplicating = false
   let hasCrashed = false
   let isLeaving = false
   let backoffS = 0
   let limitText: string | undefined
-  const limits: NamedLimit[] = []
-  const ownCallsAtMs: number[] = []
+  const limits: AdvertisedLimit[] = []
+  const controlCallsAtMs: number[] = []
   let { stage } = options
   let nextHandle = 1
   let startedAtMs = Date.now()
@@ -147,8 +147,8 @@
     if (perS !== undefined) limits.push({ perS, fromMs: performance.now() })
   }
 
-  function report (response: ServerResponse): void {
-    answerJson(response, 200, {
+  function sendReport (response: ServerResponse): void {
+    sendJson(response, 200, {
       born: startedAtMs,
       stage,
       models: [],
@@ -163,85 +163,85 @@
     })
   }
 
-  function note (request: IncomingMessage, body: Buffer, response: ServerResponse, kind: SeenRequest['kind']): SeenRequest {
-    const one: SeenRequest = { requestId: String(request.headers['x-request-id']), atMs: performance.now(), kind, headers: request.headers, path: request.url ?? '', body: body.toString(), isAborted: false, isRefused: false }
-    seen.push(one)
-    response.once('close', () => { one.isAborted = !response.writableFinished })
-    return one
+  function recordRequest (request: IncomingMessage, body: Buffer, response: ServerResponse, kind: SeenRequest['kind']): SeenRequest {
+    const seenRequest: SeenRequest = { requestId: String(request.headers['x-request-id']), atMs: performance.now(), kind, headers: request.headers, path: request.url ?? '', body: body.toString(), isAborted: false, isRefused: false }
+    seen.push(seenRequest)
+    response.once('close', () => { seenRequest.isAborted = !response.writableFinished })
+    return seenRequest
   }
 
   // Replicas echo the request id in each response, whatever its status.
-  function answer (request: IncomingMessage, response: ServerResponse, status: number, body: string, headers: Readonly<Record<string, string>> = {}): void {
-    const all = { 'x-request-id': String(request.headers['x-request-id']), 'content-length': String(Buffer.byteLength(body)), ...headers }
-    response.writeHead(status, all)
+  function sendResponse (request: IncomingMessage, response: ServerResponse, status: number, body: string, headers: Readonly<Record<string, string>> = {}): void {
+    const allHeaders = { 'x-request-id': String(request.headers['x-request-id']), 'content-length': String(Buffer.byteLength(body)), ...headers }
+    response.writeHead(status, allHeaders)
     response.end(body)
-    if (isAnsweringTwice) secondAnswers.set(request.socket, rawAnswer(status, all, body))
+    if (isDuplicating) pendingDuplicates.set(request.socket, encodeRawResponse(status, allHeaders, body))
   }
 
-  function sendSecondAnswer ({ socket }: IncomingMessage): void {
-    const bytes = secondAnswers.get(socket)
-    secondAnswers.delete(socket)
+  function sendDuplicate ({ socket }: IncomingMessage): void {
+    const bytes = pendingDuplicates.get(socket)
+    pendingDuplicates.delete(socket)
     if (bytes !== undefined) socket.write(bytes)
   }
 
-  function refuse (request: IncomingMessage, response: ServerResponse): void {
-    answer(request, response, 503, '{}', { 'x-not-executed': '1', 'x-instance-id': replicaId, ...(backoffS > 0 ? { 'retry-after': String(backoffS) } : {}) })
+  function sendNotRun (request: IncomingMessage, response: ServerResponse): void {
+    sendResponse(request, response, 503, '{}', { 'x-not-executed': '1', 'x-instance-id': replicaId, ...(backoffS > 0 ? { 'retry-after': String(backoffS) } : {}) })
   }
 
-  function misdirect (request: IncomingMessage, response: ServerResponse): void {
-    answer(request, response, 421, '{}', { 'x-instance-id': replicaId })
+  function sendMisdirected (request: IncomingMessage, response: ServerResponse): void {
+    sendResponse(request, response, 421, '{}', { 'x-instance-id': replicaId })
   }
 
-  function prefill (request: IncomingMessage, body: Buffer, response: ServerResponse): void {
-    const one = note(request, body, response, 'prefill')
+  function handlePrefill (request: IncomingMessage, body: Buffer, response: ServerResponse): void {
+    const seenRequest = recordRequest(request, body, response, 'prefill')
     if (backoffS > 0) {
-      one.isRefused = true
-      return refuse(request, response)
+      seenRequest.isRefused = true
+      return sendNotRun(request, response)
     }
     const handle = `${replicaId}-${nextHandle++}`
     handles.add(handle)
-    one.handle = handle
+    seenRequest.handle = handle
     const result = JSON.stringify({ 'cache-handle': handle, tokens: promptTokens(request), version: 1 })
-    setTimeout(() => answer(request, response, 200, result, { 'content-type': 'application/json' }), promptTokens(request) / PREFILL_TOKENS_PER_MS)
+    setTimeout(() => sendResponse(request, response, 200, result, { 'content-type': 'application/json' }), promptTokens(request) / PREFILL_TOKENS_PER_MS)
   }
 
-  function run (request: IncomingMessage, body: Buffer, response: ServerResponse): void {
-    const one = note(request, body, response, 'run')
-    if (crashesOn(one)) {
+  function handleRun (request: IncomingMessage, body: Buffer, response: ServerResponse): void {
+    const seenRequest = recordRequest(request, body, response, 'run')
+    if (crashesOn(seenRequest)) {
       setTimeout(crash, CRASH_AFTER_MS)
       return
     }
     const fault = faults.shift()
     if (backoffS > 0 || fault === 'not_run' || usedTokens() + promptTokens(request) > memoryTokens) {
-      one.isRefused = true
-      return refuse(request, response)
+      seenRequest.isRefused = true
+      return sendNotRun(request, response)
     }
     if (fault === 'reset' || fault === 'garbled') {
-      breakOff(request, fault)
+      failConnection(request, fault)
       return
     }
     const headers = {
-      'x-request-id': fault === 'other_request' ? 'another' : one.requestId,
+      'x-request-id': fault === 'other_request' ? 'another' : seenRequest.requestId,
       ...(fault === 'unsigned' ? {} : { 'x-response-stamp': replicaId }),
       'content-type': stage === undefined ? 'text/plain' : 'text/event-stream'
     }
     if (stage === undefined) {
-      setTimeout(() => answer(request, response, 200, `answer to ${one.requestId}`, headers), answerMs)
+      setTimeout(() => sendResponse(request, response, 200, `answer to ${seenRequest.requestId}`, headers), answerMs)
       return
     }
     response.writeHead(200, headers)
-    stream(one, promptTokens(request), Number(request.headers['last-event-id'] ?? 0), response, fault === 'break_off')
+    stream(seenRequest, promptTokens(request), Number(request.headers['last-event-id'] ?? 0), response, fault === 'break_off')
   }
 
-  function stream (one: SeenRequest, promptLength: number, after: number, response: ServerResponse, isBrokenOff: boolean): void {
+  function stream (seenRequest: SeenRequest, promptLength: number, after: number, response: ServerResponse, isTruncated: boolean): void {
     const state = { tokens: promptLength, events: after }
-    runs.set(one.requestId, state)
-    response.once('close', () => { runs.delete(one.requestId) })
+    runs.set(seenRequest.requestId, state)
+    response.once('close', () => { runs.delete(seenRequest.requestId) })
     const timer = setInterval(() => {
       state.events += 1
       state.tokens += TOKENS_PER_EVENT
       response.write(`id: ${state.events}\ndata: piece ${state.events}\n\n`)
-      if (isBrokenOff && state.events >= events / 2) response.destroy()
+      if (isTruncated && state.events >= events / 2) response.destroy()
       if (state.events >= events) response.end()
     }, eventMs)
     response.once('close', () => clearInterval(timer))
@@ -250,7 +250,7 @@
 
   function crash (): void {
     if (hasCrashed) return
-    if (isRestarted) {
+    if (restartsAfterCrash) {
       restart()
       return onCrash()
     }
@@ -273,40 +273,40 @@
     runs.clear()
   }
 
-  function takeOrder ({ fence, holder, stage: ordered }: Omit<SeenOrder, 'atMs'>): number {
-    const isFenced = orders.some((former) => former.fence > fence)
-    orders.push({ atMs: performance.now(), fence, holder, stage: ordered })
+  function handleOrder ({ fence, holder, stage: orderedStage }: Omit<SeenOrder, 'atMs'>): number {
+    const isFenced = orders.some((previous) => previous.fence > fence)
+    orders.push({ atMs: performance.now(), fence, holder, stage: orderedStage })
     if (isFenced) return FENCED_STATUS
-    stage = ordered
+    stage = orderedStage
     return ACCEPTED_STATUS
   }
 
   const server = await startFleetServer(options.host, (request, body, response) => {
     const path = request.url ?? '/'
-    sendSecondAnswer(request)
+    sendDuplicate(request)
     if (isLeaving) response.setHeader('server-leaving', '1')
     if (limitText !== undefined) response.setHeader('server-limit', limitText)
-    if (path === '/api/report') return report(response)
-    if (path.startsWith('/api/')) ownCallsAtMs.push(performance.now())
+    if (path === '/api/report') return sendReport(response)
+    if (path.startsWith('/api/')) controlCallsAtMs.push(performance.now())
     if (path.startsWith('/api/kv-handle/')) {
       handles.delete(path.slice('/api/kv-handle/'.length))
-      return answerJson(response, 200, {})
+      return sendJson(response, 200, {})
     }
-    if ((request.headers['x-expect-instance'] ?? replicaId) !== replicaId) return misdirect(request, response)
+    if ((request.headers['x-expect-instance'] ?? replicaId) !== replicaId) return sendMisdirected(request, response)
     if (path === '/api/order') {
-      return answerJson(response, takeOrder(JSON.parse(body.toString()) as Omit<SeenOrder, 'atMs'>), {})
+      return sendJson(response, handleOrder(JSON.parse(body.toString()) as Omit<SeenOrder, 'atMs'>), {})
     }
     const wantsPrefill = request.headers['x-serving-stage'] === 'prefill'
-    if (stage !== undefined && wantsPrefill !== (stage === 'prefill')) return misdirect(request, response)
-    if (wantsPrefill) prefill(request, body, response)
-    else run(request, body, response)
+    if (stage !== undefined && wantsPrefill !== (stage === 'prefill')) return sendMisdirected(request, response)
+    if (wantsPrefill) handlePrefill(request, body, response)
+    else handleRun(request, body, response)
   })
   return {
     ...server,
     seen,
     orders,
     limits,
-    ownCallsAtMs,
+    controlCallsAtMs,
     nameLimit,
     sayLimit: (text) => { limitText = text },
     stage: () => stage,
@@ -317,22 +317,22 @@
     failNext: (fault) => { faults.push(fault) },
     sayLeaving: () => { isLeaving = true },
     askForBackoff: (seconds) => { backoffS = seconds },
-    answerTwice: () => { isAnsweringTwice = true },
+    answerTwice: () => { isDuplicating = true },
     heal: () => {
       faults.length = 0
-      isAnsweringTwice = false
+      isDuplicating = false
       backoffS = 0
       nameLimit(undefined)
     }
   }
 }
 
-function rawAnswer (status: number, headers: Readonly<Record<string, string>>, body: string): string {
+function encodeRawResponse (status: number, headers: Readonly<Record<string, string>>, body: string): string {
   const lines = Object.entries(headers).map(([name, value]) => `${name}: ${value}`)
   return [`HTTP/1.1 ${status} Again`, ...lines, '', body].join('\r\n')
 }
 
-function breakOff ({ socket }: IncomingMessage, fault: 'reset' | 'garbled'): void {
+function failConnection ({ socket }: IncomingMessage, fault: 'reset' | 'garbled'): void {
   if (fault === 'reset') socket.resetAndDestroy()
   else socket.end('no answer\r\n\r\n')
 }
--- a/packages/bendfall-fakes/src/fleet/BendfallFakesFleetServer.ts
+++ b/packages/bendfall-fakes/src/fleet/BendfallFakesFleetServer.ts
@@ -64,7 +64,7 @@
  * @param body - value to serialize
  * @param headers - additional headers
  */
-export function answerJson (response: ServerResponse, status: number, body: unknown, headers: Readonly<Record<string, string>> = {}): void {
+export function sendJson (response: ServerResponse, status: number, body: unknown, headers: Readonly<Record<string, string>> = {}): void {
   response.writeHead(status, { 'content-type': 'application/json', ...headers })
   response.end(JSON.stringify(body))
 }
--- a/packages/bendfall-fakes/src/fleet/BendfallFakesRateJudge.ts
+++ b/packages/bendfall-fakes/src/fleet/BendfallFakesRateJudge.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import type { FleetReplica, NamedLimit } from './BendfallFakesFleetReplica.js'
+import type { AdvertisedLimit, FleetReplica } from './BendfallFakesFleetReplica.js'
 
 /** A response that an entry forwarded to a caller; times are monotonic. */
 export interface PassedAnswer {
@@ -56,22 +56,22 @@
   return windows.sort((one, other) => other.over - one.over)[0]
 }
 
-function windowsOf ({ answers, isCounted = () => true, replica, replicaId }: RateEvidence, { fromMs, perS, untilMs = Infinity }: NamedLimit): RateWindow[] {
+function windowsOf ({ answers, isCounted = () => true, replica, replicaId }: RateEvidence, { fromMs, perS, untilMs = Infinity }: AdvertisedLimit): RateWindow[] {
   const entryOf = new Map(answers.map(({ entry, requestId }) => [requestId, entry]))
-  const told = new Map<string, number>()
+  const learnedAtMs = new Map<string, number>()
   // A response that the replica sent before it advertised the limit may be forwarded later, so only
   // responses to requests that arrived while it was advertised show that an entry learned it.
-  const sentAfter = new Set(replica.seen.filter(({ atMs }) => atMs >= fromMs && atMs < untilMs).map(({ requestId }) => requestId))
+  const idsWhileAdvertised = new Set(replica.seen.filter(({ atMs }) => atMs >= fromMs && atMs < untilMs).map(({ requestId }) => requestId))
   for (const { answeredAtMs, entry, replicaId: from, requestId } of answers) {
-    if (from === replicaId && sentAfter.has(requestId)) told.set(entry, Math.min(answeredAtMs, told.get(entry) ?? Infinity))
+    if (from === replicaId && idsWhileAdvertised.has(requestId)) learnedAtMs.set(entry, Math.min(answeredAtMs, learnedAtMs.get(entry) ?? Infinity))
   }
-  const firstToldMs = Math.min(...told.values())
+  const firstLearnedAtMs = Math.min(...learnedAtMs.values())
   const arrivals = replica.seen
     .map(({ atMs, requestId }) => ({ atMs, entry: entryOf.get(requestId) ?? '' }))
-    .filter(({ atMs, entry }) => atMs >= (told.get(entry) ?? Infinity) + REACTION_MS && atMs < untilMs && isCounted(atMs, entry))
+    .filter(({ atMs, entry }) => atMs >= (learnedAtMs.get(entry) ?? Infinity) + REACTION_MS && atMs < untilMs && isCounted(atMs, entry))
   const allowed = ALLOWED_FACTOR * perS * RATE_WINDOW_MS / 1_000 + ALLOWED_EXTRA_REQUESTS
-  return arrivals.filter(({ atMs }) => atMs >= firstToldMs + PROPAGATION_MS).map(({ atMs }) => {
-    const arrived = arrivals.filter((one) => one.atMs > atMs - RATE_WINDOW_MS && one.atMs <= atMs).length
+  return arrivals.filter(({ atMs }) => atMs >= firstLearnedAtMs + PROPAGATION_MS).map(({ atMs }) => {
+    const arrived = arrivals.filter((other) => other.atMs > atMs - RATE_WINDOW_MS && other.atMs <= atMs).length
     return { perS, atMs, arrived, over: Math.ceil(arrived - allowed) }
   })
 }
--- a/packages/bendfall-fakes/src/fleet/soak/BendfallFakesSoakFleet.ts
+++ b/packages/bendfall-fakes/src/fleet/soak/BendfallFakesSoakFleet.ts
@@ -187,7 +187,7 @@
     stage,
     events: SOAK_EVENTS,
     eventMs: EVENT_MS,
-    isRestarted: true,
+    restartsAfterCrash: true,
     crashesOn: ({ path }) => path === POISON_PATH,
     onCrash: () => {
       onCrash(replica)
