--- a/packages/bendfall-fakes/src/fleet/soak/BendfallFakesFleetCaller.ts
+++ b/packages/bendfall-fakes/src/fleet/soak/BendfallFakesFleetCaller.ts
@@ -1,5 +1,5 @@
 /**
- * A caller of the soak and its verdict on each answer.
+ * Client of the soak, with a check of each response as the caller sees it.
  *
  * @module
  */
@@ -9,28 +9,28 @@
 /** Kind of call, which is also the prefix of its path. */
 export type CallKind = 'booking' | 'brief' | 'rate' | 'summary'
 
-/** What a call asks for. */
+/** Parameters of a call. */
 export interface CallRequest {
   readonly kind: CallKind
   readonly requestId: string
   /** `/KIND/1` when absent. */
   readonly path?: string
-  /** Of a customer; absent where callers need none. */
+  /** API key of a customer; absent where callers need none. */
   readonly key?: string
 }
 
-/** What became of a call. */
+/** A call and its outcome. */
 export interface CallRecord {
   readonly requestId: string
   readonly kind: CallKind
   /** `ip:port` of the entry. */
   readonly entry: string
   readonly startedAtMs: number
-  /** Key that it was sent with. */
+  /** API key that the call was sent with. */
   readonly key?: string
-  /** When its answer began; absent without one. */
+  /** When the response head arrived; absent without a response. */
   answeredAtMs?: number
-  /** Replica that vouches for the answer. */
+  /** Replica that signed the response. */
   replicaId?: string
   status: number
   isWhole: boolean
@@ -41,7 +41,7 @@
 const TOKENS = '1500,200'
 const KINDS_WITH_PROMPT: ReadonlySet<CallKind> = new Set(['brief', 'summary'])
 
-/** Connections stay open between calls, until the process is gone. */
+/** Keeps connections open between calls until the process exits. */
 const agent = new Agent({ keepAlive: true })
 
 /**
@@ -49,8 +49,8 @@
  *
  * @param address - `ip:port` of an entry
  * @param host - host of the routes
- * @param asked - kind, id and path
- * @returns what became of it
+ * @param request - kind, id, path and key
+ * @returns the outcome, also after a connection error
  */
 export function call (address: string, host: string, { key, kind, path = `/${kind}/1`, requestId }: CallRequest): Promise<CallRecord> {
   const record: CallRecord = { requestId, kind, key, entry: address, startedAtMs: performance.now(), status: 0, isWhole: false, body: '' }
@@ -77,11 +77,11 @@
 }
 
 /**
- * Finds what is wrong with an answer as its caller sees it.
+ * Checks a response: its body must belong to the request, and a stream must have all events in order.
  *
- * @param record - the call
- * @param events - events of a whole stream
- * @returns what is wrong; undefined when nothing is
+ * @param record - call with its response
+ * @param events - number of events in a complete stream
+ * @returns a description of the violation; undefined when there is none
  */
 export function findWrongAnswer ({ body, isWhole, kind, requestId, status }: CallRecord, events: number): string | undefined {
   if (status !== 200) return undefined
--- a/packages/bendfall-fakes/src/fleet/soak/BendfallFakesFleetProxy.ts
+++ b/packages/bendfall-fakes/src/fleet/soak/BendfallFakesFleetProxy.ts
@@ -1,21 +1,21 @@
 /**
- * Loopback proxy that harms the connections that pass through it.
+ * Loopback TCP proxy that injects faults into the connections that pass through it.
  *
  * @module
  */
 import { connect, createServer } from 'node:net'
 import type { AddressInfo, Socket } from 'node:net'
 
-/** How connections are harmed: `silent` passes nothing and closes nothing, `one_way` passes only towards the server. */
+/** Connection faults: `silent` drops all bytes without closing, `one_way` forwards only towards the server. */
 export type ProxyFault = 'delayed' | 'one_way' | 'silent'
 
-/** A proxy that listens. */
+/** A listening proxy. */
 export interface FleetProxy {
   /** `ip:port`. */
   readonly address: string
-  /** Harms what passes from now on, until called with undefined. */
+  /** Applies a fault to all further traffic until called with undefined. */
   readonly harm: (fault: ProxyFault | undefined) => void
-  /** Lets all open connections fall silent for good, without an end; new ones work. */
+  /** Stalls all open connections permanently without closing them; new ones work. */
   readonly silence: () => void
   /** Resets all open connections. */
   readonly reset: () => void
@@ -27,7 +27,7 @@
 /**
  * Starts a proxy.
  *
- * @param target - `ip:port` behind it
+ * @param target - `ip:port` that connections are forwarded to
  * @returns the proxy, on the target's loopback address, once it listens
  */
 export async function startFleetProxy (target: string): Promise<FleetProxy> {
@@ -40,21 +40,21 @@
     let isLost = false
     let delayedChunks = 0
     from.on('data', (chunk) => {
-      // What follows bytes that were lost must not arrive either: the connection stays silent.
+      // Bytes after lost ones must not arrive either, so the connection stays stalled.
       isLost ||= fault === 'silent' || silenced.has(from) || (fault === 'one_way' && isAnswer)
       if (isLost) return
       if (fault !== 'delayed' && delayedChunks === 0) {
         to.write(chunk)
         return
       }
-      // A chunk behind delayed ones waits as long, so that the order is kept.
+      // A chunk behind delayed ones is delayed as well, to keep the order.
       delayedChunks += 1
       setTimeout(() => {
         delayedChunks -= 1
         to.write(chunk)
       }, DELAY_MS)
     })
-    // Bytes that are delayed go before the end.
+    // Delayed bytes must be written before the end.
     from.on('end', () => {
       if (!silenced.has(from)) setTimeout(() => to.end(), DELAY_MS)
     })
--- a/packages/bendfall-fakes/src/fleet/soak/BendfallFakesFleetSoak.ts
+++ b/packages/bendfall-fakes/src/fleet/soak/BendfallFakesFleetSoak.ts
@@ -1,6 +1,6 @@
 /**
- * Soak of the programs for the users' platform: processes under seeded faults
- * that come in series and overlap, and every answer judged.
+ * Soak test of the programs for the users' platform: runs them as processes under seeded, overlapping
+ * faults and checks every response and every request that reached a replica.
  *
  * @module
  */
@@ -20,10 +20,10 @@
 import type { IsCalm, NoticeEvidence } from './BendfallFakesSoakNotices.js'
 
 /**
- * Faults that a soak draws from: all, a store that comes back from older copies, what
- * replicas say of themselves beside a request that ends each replica which runs it, limits
- * that replicas name on the requests of all entries together, or
- * customers whose keys come and go and of whom one asks for more than its limit.
+ * Set of faults that a soak draws from: `faults` for general faults, `drills` for a store restored
+ * from backups, `notices` for replicas that report that they leave or back off while a request crashes each
+ * replica that runs it, `limits` for limits that replicas advertise on the total request rate of all entries,
+ * `customers` for API keys that are revoked and reissued and a customer that exceeds its limit.
  */
 export type SoakPlan = 'customers' | 'faults' | 'drills' | 'limits' | 'notices'
 
@@ -32,11 +32,11 @@
   readonly calls: number
   readonly answered: number
   readonly refused: number
-  /** Orders that reached replicas. */
+  /** Number of stage orders that reached replicas. */
   readonly orders: number
   readonly faults: readonly string[]
   readonly violations: readonly string[]
-  /** Log lines of the processes that tell of them; empty without violations. */
+  /** Log lines of the processes that relate to the violations; empty without violations. */
   readonly evidence: readonly string[]
 }
 
@@ -46,26 +46,28 @@
   readonly untilMs: number
 }
 
-/** Time after which a replica that leaves must get no new work, and slack of a busy machine. */
+/** Time after which a leaving replica must receive no new requests. */
 const DRAIN_MS = 2_000
+
+/** Tolerance for scheduling delays on a busy machine. */
 const SLACK_MS = 300
 
-/** Entries are held to it once the store, their way to it and themselves were undisturbed for this long. */
+/** Late arrivals count only after no fault has affected the store, the path to it or the entry for this long. */
 const CALM_MS = 3_000
 
-/** Faults that excuse an entry; connections that fall silent don't. */
+/** Faults during which late arrivals don't count; stalled connections are no excuse. */
 const EXCUSING = /^(kill|pause|terminate) entry|^proxy|^store/
 
-/** Faults that excuse one entry from a limit. */
+/** Faults of a single entry, during which its arrivals don't count towards a limit. */
 const ENDING = /^(kill|pause|terminate) /
 
 const KINDS: readonly CallKind[] = ['booking', 'brief', 'rate', 'summary']
 const CALLERS = 8
 
-/** Enough that each entry asks each replica several times a second, so that one request too many shows. */
+/** Enough callers that each entry calls each replica several times a second, so that one excess request shows. */
 const NOTICE_CALLERS = 32
 
-/** Plans whose verdicts need them. */
+/** Plans whose checks need this many callers. */
 const MANY_CALLERS: ReadonlySet<SoakPlan> = new Set(['limits', 'notices'])
 
 const CALL_PAUSE_MS = 30
@@ -77,13 +79,13 @@
 const FREE_MS = 3_000
 const PROOF_CALLS = 12
 
-/** Statuses that promise that a request has not run. */
+/** Statuses that guarantee that a request has not run. */
 const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503])
 
-/** Kinds that run once at most. */
+/** Kinds of calls that run at most once. */
 const ONCE: ReadonlySet<CallKind> = new Set(['booking', 'summary'])
 
-// In a third of the seeds no fault excuses a late send to a replica that leaves.
+// A third of the seeds draw only faults that excuse no late request to a leaving replica.
 const FAULTS_OF: Readonly<Record<SoakPlan, (seed: number) => readonly string[]>> = {
   customers: () => CUSTOMER_FAULTS,
   drills: () => DRILL_FAULTS,
@@ -95,10 +97,10 @@
 /**
  * Runs a soak.
  *
- * @param seed - of faults and callers
- * @param seconds - time under faults
- * @param plan - faults that it draws from
- * @returns what was seen
+ * @param seed - seed of the random faults and calls
+ * @param seconds - time during which faults are injected
+ * @param plan - set of faults to draw from
+ * @returns counts, violations and their evidence
  */
 export async function soakFleet (seed: number, seconds: number, plan: SoakPlan = 'faults'): Promise<SoakResult> {
   const fleet = await startSoakFleet(plan === 'customers' ? createSoakCustomers() : undefined)
@@ -173,13 +175,13 @@
   return (atMs) => excuses.every(({ fromMs, untilMs }) => atMs < fromMs || atMs > untilMs + CALM_MS)
 }
 
-// A restart, a pause or a cut of an entry excuses that entry.
+// Killing, pausing or terminating an entry excuses only that entry.
 function createEntryCalm ({ entries }: SoakFleet, faults: readonly SoakFault[]): IsEntryCalm {
   const excuses = faults.filter(({ name }) => ENDING.test(name))
   return (atMs, entry) => excuses.every(({ fromMs, name, untilMs }) => !name.endsWith(`entry-${entries.indexOf(entry)}`) || atMs < fromMs || atMs > untilMs + CALM_MS)
 }
 
-// A replica that leaves gets no new work after the drain time.
+// A leaving replica must receive no new requests after the drain time.
 function findLateArrivals ({ fleet: { away }, isCalm }: NoticeEvidence): string[] {
   return away.flatMap(({ fromMs, replica, untilMs = Infinity }) => replica.seen
     .filter(({ atMs }) => atMs > fromMs + DRAIN_MS + SLACK_MS && atMs < untilMs && isCalm(atMs))
@@ -187,10 +189,10 @@
 }
 
 /**
- * Finds orders of two holders at a time, and fences that did not rise.
+ * Finds orders in which two leaders used the same fencing token or a lower token followed a higher one.
  *
- * @param orders - as they arrived at all replicas
- * @returns a line for each
+ * @param orders - orders that arrived at all replicas, in any order
+ * @returns one line per violation
  */
 export function findFenceFaults (orders: readonly SeenOrder[]): string[] {
   const holders = new Map<number, string>()
@@ -210,7 +212,7 @@
   return `${name} ${Math.round(fromMs)}-${Math.round(untilMs)}`
 }
 
-/** Lines on what an entry knows of replicas and of the service that tells it. */
+/** Log lines about an entry's view of replicas and its connection to the store. */
 const MEMBERSHIP_EVENTS = /event=(replica_|registrations_|directory_|store_|started|stop|duty_|keeper|permits_)/
 
 function findEvidence ({ nodes }: SoakFleet, violations: readonly string[]): string[] {
@@ -238,13 +240,13 @@
 async function untilServed (fleet: SoakFleet, seed: number): Promise<void> {
   for (const entry of fleet.entries) {
     for (let i = 0; !await isServed(fleet, entry, 'summary', `first-${seed}-${entry}-${i}`); i++) {
-      if (i === 100) throw new Error(`${entry} serves nothing at the start`)
+      if (i === 100) throw new Error(`${entry} serves no request after the start of the fleet`)
       await sleep(50)
     }
   }
 }
 
-// After the faults every kind is served again at every entry.
+// After the last fault every entry must serve calls again.
 async function findUnrecovered (fleet: SoakFleet, seed: number): Promise<string[]> {
   for (const { replica } of [...fleet.models, ...fleet.plain]) replica.heal()
   await sleep(RECOVERY_MS)
@@ -258,7 +260,7 @@
   return unserved
 }
 
-// No replica works for a caller that is gone.
+// No replica may still run a request whose caller has left.
 async function findHeld ({ models }: SoakFleet): Promise<string[]> {
   await sleep(FREE_MS)
   return models.filter(({ replica }) => replica.running() > 0).map(({ replica }) => `${replica.address} still runs ${replica.running()} requests`)
--- a/packages/bendfall-fakes/src/fleet/soak/BendfallFakesFleetSoakMain.ts
+++ b/packages/bendfall-fakes/src/fleet/soak/BendfallFakesFleetSoakMain.ts
@@ -1,9 +1,8 @@
 /**
- * Command line of the soak: `npm run soak:fleet -- --seeds 1-50 --seconds 8`, with
- * `--plan drills` for a store that comes back from older copies and `--plan notices` for
- * what replicas say of themselves beside a request that ends replicas and `--plan customers`
- * for keys that come and go and a customer that asks for more than its limit and `--plan limits`
- * for limits that replicas name on the requests of all entries together.
+ * Command line of the soak: `npm run soak:fleet -- --seeds 1-50 --seconds 8`. Further plans: `--plan drills`
+ * for a store restored from backups, `--plan notices` for replicas that report that they leave or back off
+ * while a request crashes replicas, `--plan customers` for API keys that are revoked and reissued and a customer
+ * that exceeds its limit, and `--plan limits` for limits that replicas advertise on the total request rate.
  *
  * @module
  */
--- a/packages/bendfall-fakes/src/fleet/soak/BendfallFakesSoakCustomers.ts
+++ b/packages/bendfall-fakes/src/fleet/soak/BendfallFakesSoakCustomers.ts
@@ -1,6 +1,6 @@
 /**
- * Customers of the soak: their keys, which are taken away, given back and moved, and what
- * replicas may run for them.
+ * Customers of the soak: revokes, reissues and reassigns their API keys, and checks that replicas run
+ * only what the keys and limits allow.
  *
  * @module
  */
@@ -8,20 +8,20 @@
 import type { SeenRequest } from '../BendfallFakesFleetReplica.js'
 import type { CallRecord } from './BendfallFakesFleetCaller.js'
 
-/** Begins all keys, so that one search finds any of them. */
+/** Common prefix of all keys, so that one search finds any of them. */
 const KEY_MARK = 'soak-key-'
 
-/** Time after which a key that was taken away opens nothing. */
+/** Time after which a revoked key must be rejected. */
 export const SOAK_REVOKED_WITHIN_MS = 2_000
 
-/** What customers may use beyond their allotments. */
+/** Tolerances for use beyond an allotment. */
 export const SOAK_ALLOTMENTS = { windowMs: 4_000, overShare: 0.1, slackUnits: 8_000 }
 
-/** Of the customer that asks for more than its limit. */
+/** Limit of the customer that exceeds it. */
 const LIMIT = { unit: 'token_stream', 'uncached-tokens': 200, 'rate-per-s': 3_000, burst: 3_000 }
 const FLOODING = 'flooding'
 
-/** Never taken away: what is served after the faults is asked with it. */
+/** Key that is never revoked; the calls after the faults use it. */
 export const STEADY_KEY = `${KEY_MARK}steady`
 
 const CUSTOMERS = ['steady', 'moving', FLOODING] as const
@@ -37,7 +37,7 @@
 
 const UNKNOWN_KEY = `${KEY_MARK}unknown`
 
-/** Time in which a customer had a key. */
+/** Period in which a key belonged to a customer. */
 interface Holding {
   readonly key: string
   readonly customer: CustomerName
@@ -45,26 +45,30 @@
   untilMs: number
 }
 
-/** Customers and the history of their keys. */
+/** Customers and the assignment history of their keys. */
 export interface SoakCustomers {
-  /** @returns them as operators write them */
+  /** @returns the customers in the format of the configuration */
   readonly tenants: () => object[]
-  /** Takes a key away, gives it back or moves it. */
+  /**
+   * Revokes, reissues or reassigns a drawn key.
+   *
+   * @returns the change, for the list of faults
+   */
   readonly change: (draw: Draw) => string
-  /** Gives all keys back. */
+  /** Returns all keys to their initial customers. */
   readonly restore: () => void
   readonly drawKey: (draw: Draw) => string
   /**
-   * Finds runs that keys did not open, keys that were passed on, and runs beyond a limit.
+   * Finds runs without a valid key, keys that were forwarded to replicas, and runs beyond a limit.
    *
-   * @param records - of all callers
-   * @param runs - as replicas saw them
-   * @returns a line for each
+   * @param records - calls of all callers
+   * @param runs - requests that replicas ran
+   * @returns one line per violation
    */
   readonly judge: (records: readonly CallRecord[], runs: readonly SeenRequest[]) => string[]
 }
 
-/** @returns customers with all of their keys */
+/** @returns the customers, each with its initial keys */
 export function createSoakCustomers (): SoakCustomers {
   const holdings: Holding[] = []
   const holdingOf = (key: string): Holding | undefined => holdings.find((one) => one.key === key && one.untilMs === Infinity)
@@ -81,7 +85,7 @@
     for (const [key, customer] of Object.entries(FIRST_HOLDERS)) give(key, customer)
   }
 
-  // A key may open for who had it when the call began, or within the bound before.
+  // A run is allowed for the customer that held the key when the call began or lost it within the revocation bound before.
   function mayRun ({ key = '', startedAtMs }: CallRecord, { atMs, headers }: SeenRequest): boolean {
     return holdings.some((one) => one.key === key && one.customer === headers['x-tenant'] && one.fromMs <= atMs && startedAtMs <= one.untilMs + SOAK_REVOKED_WITHIN_MS)
   }
@@ -113,16 +117,16 @@
 }
 
 /**
- * Finds keys in what processes wrote.
+ * Finds keys that leaked into the output of processes.
  *
- * @param lines - of all processes
- * @returns a line for each that has one
+ * @param lines - output lines of all processes
+ * @returns one line per leak
  */
 export function findWrittenKeys (lines: readonly string[]): string[] {
   return lines.filter((line) => line.includes(KEY_MARK)).map((line) => `written: ${line}`)
 }
 
-// Counted as the caller sent it and a replica ran it, both within the window.
+// Counts a request in a window only if both the call and the run at a replica lie within it.
 function findBeyondLimit (records: readonly CallRecord[], runs: readonly SeenRequest[]): string[] {
   const sentAtMs = new Map(records.map(({ requestId, startedAtMs }) => [requestId, startedAtMs]))
   const first = new Map<string, SeenRequest>()
--- a/packages/bendfall-fakes/src/fleet/soak/BendfallFakesSoakFaults.ts
+++ b/packages/bendfall-fakes/src/fleet/soak/BendfallFakesSoakFaults.ts
@@ -1,5 +1,5 @@
 /**
- * Faults of the soak, each with its end.
+ * Faults of the soak: each one is injected, held for a drawn time and undone.
  *
  * @module
  */
@@ -14,15 +14,15 @@
 const REPLICA_FAULTS: readonly FleetReplicaFault[] = ['not_run', 'reset', 'garbled', 'other_request', 'unsigned', 'break_off']
 const PROXY_FAULTS: readonly ProxyFault[] = ['delayed', 'one_way', 'silent']
 
-/** Time for which a replica that leaves is away before it starts again: longer than the drain time, so that late sends show. */
+/** Time before a leaving replica starts again: longer than the drain time, so that late requests show. */
 const AWAY_MS = 4_500
 
 const MS_PER_SECOND = 1_000
 
-/** Time for which entries don't reach the store: longer than keys are believed. */
+/** Time for which entries can't reach the store: longer than they trust API keys without a refresh. */
 const CUT_MS = 4_500
 
-/** What another writer may leave among the registrations. */
+/** Invalid or unrelated documents that another writer may store among the registrations. */
 const FOREIGN_ENTRIES: ReadonlyArray<(address: string) => unknown> = [
   () => 'no registration',
   (address) => ({ service: 'app', address }),
@@ -30,20 +30,22 @@
   () => ({ service: 'app', address: 'nowhere', zone: 'a', version: 'v1', slots: 6, state: 'ready', 'cold-remaining-ms': 0, seq: 1 })
 ]
 
-/** Age of the copy from which the store comes back. */
+/** Age of the backup from which the store is restored. */
 const COPY_AGE_MS = [300, 1_500, 4_000] as const
 
-/** Owners that live write again within this time after a restore; what they don't write lapses. */
+/** Time after a restore in which live owners rewrite their documents; documents that nobody rewrites lapse. */
 const WRITTEN_AGAIN_MS = 2_000
 
-/** Limits that replicas name, requests a second; 0 is a rest without an end. */
+/** Limits that replicas advertise, requests per second; 0 asks for no requests, without an end. */
 const LIMITS_PER_S = [0, 0.2, 2, 5.1, 20] as const
 
-/** How long each of them holds, and how many follow each other. */
+/** How long each limit is advertised. */
 const LIMIT_MS = [1_500, 5_000, 8_000] as const
+
+/** Number of consecutive limits of one fault. */
 const LIMIT_CHANGES = 2
 
-/** Backoffs that replicas ask for, whole seconds as they tell them. */
+/** Backoffs that replicas request: whole seconds, as in `Retry-After`. */
 const BACKOFF_S = [1, 2, 3] as const
 
 type Inflict = (fleet: SoakFleet, draw: Draw) => Promise<string>
@@ -51,7 +53,7 @@
 const FAULTS: Readonly<Record<string, Inflict>> = {
   back_off: async ({ models, notices, plain }, draw) => {
     const { replica, replicaId } = draw([...models, ...plain])
-    // Its time counts from each refusal anew.
+    // Each refusal restarts the backoff, so a replica that already has a notice is left out.
     if (notices.some((one) => one.replica === replica && one.untilMs === undefined)) return 'nobody'
     const seconds = draw(BACKOFF_S)
     const fromMs = performance.now()
@@ -89,7 +91,7 @@
   },
   leave: async (fleet, draw) => {
     const { away, plain } = fleet
-    // One at a time: the others serve meanwhile.
+    // Only one replica leaves at a time, so that the others can serve.
     if (away.some(({ untilMs }) => untilMs === undefined)) return 'nobody'
     const one = draw(plain)
     const state = draw(['draining', 'none'] as const)
@@ -184,7 +186,7 @@
   }
 }
 
-// They change once, and are lifted; another series may have named one meanwhile.
+// Advertises limits in sequence and then lifts them; a concurrent series may advertise one for the same replica.
 async function nameLimits (replicas: readonly FleetReplica[], draw: Draw, name: string): Promise<string> {
   const told: number[] = []
   for (let i = 0; i < LIMIT_CHANGES; i++) {
@@ -199,32 +201,32 @@
 
 const DRILL = 'store_restored'
 
-/** Names of the faults by which former seeds drew. */
+/** Faults added later, which `ALL_FAULTS` leaves out so that earlier seeds draw the same faults as before. */
 const LATER_FAULTS: ReadonlySet<string> = new Set([DRILL, 'back_off', 'cut_off', 'keys', 'limit', 'limit_all', 'say_leaving'])
 export const ALL_FAULTS: readonly string[] = Object.keys(FAULTS).filter((name) => !LATER_FAULTS.has(name))
 
-/** Replicas that leave, or back off, by their own answers alone, beside others that are registered or start again. */
+/** Replicas that leave or back off only by response headers, alongside others that leave by registration or restart. */
 export const NOTICE_FAULTS: readonly string[] = ['back_off', 'back_off', 'say_leaving', 'say_leaving', 'leave', 'pause', 'reset', 'restart', 'store_fails']
 
-/** Limits that replicas name, alone and all of a service, while entries and replicas end, pause and are cut off. */
+/** Limits advertised by one replica or by all of a service, while entries and replicas end, pause or lose connections. */
 export const LIMIT_FAULTS: readonly string[] = ['cut_off', 'kill', 'limit', 'limit', 'limit_all', 'limit_all', 'limit_all', 'pause', 'reset', 'restart', 'store_fails', 'terminate']
 
-/** Drills in which the store comes back from a copy, also twice in a row, among replicas that leave and entries that pause. */
+/** Restores of the store from a backup, also several in a row, while replicas leave and entries pause. */
 export const DRILL_FAULTS: readonly string[] = [DRILL, DRILL, 'leave', 'leave', 'pause', 'reset', 'restart', 'silence', 'store_fails']
 
-/** Keys that are taken away, given back and moved, while entries are cut off, turned away, stopped, paused and killed. */
+/** Changes of API keys while entries are partitioned from the store, get store errors, or are terminated, paused or killed. */
 export const CUSTOMER_FAULTS: readonly string[] = ['cut_off', 'cut_off', 'keys', 'keys', 'keys', 'keys', 'kill', 'pause', 'proxy', 'replica', 'reset', 'silence', 'store_fails', 'store_forgets', 'terminate']
 
-/** Faults that excuse no entry from knowing what leaves. */
+/** Faults that don't prevent an entry from learning that a replica leaves. */
 export const LEAVING_FAULTS: readonly string[] = ['foreign', 'leave', 'leave', 'reset', 'restart', 'silence']
 
 /**
- * Inflicts a drawn fault and waits until it is over.
+ * Injects a drawn fault and waits until it is over.
  *
- * @param fleet - the fleet
- * @param draw - the draws
+ * @param fleet - fleet to disturb
+ * @param draw - seeded random choice
  * @param names - faults to draw from
- * @returns its name and place
+ * @returns name and target of the fault
  */
 export async function inflict (fleet: SoakFleet, draw: Draw, names: readonly string[]): Promise<string> {
   const name = draw(names)
@@ -232,7 +234,7 @@
 }
 
 async function end (node: SoakNode, signal: 'SIGKILL' | 'SIGTERM', draw: Draw): Promise<void> {
-  // Another series of faults has it.
+  // A concurrent series of faults already ends this node.
   if (node.isEnding) return
   node.isEnding = true
   const restMs = draw(FAULT_MS)
--- a/packages/bendfall-fakes/src/fleet/soak/BendfallFakesSoakFleet.ts
+++ b/packages/bendfall-fakes/src/fleet/soak/BendfallFakesSoakFleet.ts
@@ -1,6 +1,6 @@
 /**
- * The fleet of the soak: bendfall's programs as processes, before stand-ins of
- * the users' platform that are reached through proxies.
+ * Fleet of the soak: bendfall's programs as processes, with stand-ins for the users' platform behind
+ * proxies that can inject connection faults.
  *
  * @module
  */
@@ -26,10 +26,10 @@
 /** Host of the routes. */
 export const SOAK_HOST = 'soak.example'
 
-/** Events of a stream: about half a second. */
+/** Number of events in a stream, which then takes about half a second. */
 export const SOAK_EVENTS = 24
 
-/** Path whose request ends each replica that runs it. */
+/** Path of the request that crashes each replica that runs it. */
 export const POISON_PATH = '/rate/poison'
 
 const EVENT_MS = 20
@@ -39,11 +39,11 @@
 const READY_PORT = 17_392
 const MAIN_MODULE = fileURLToPath(new URL('./BendfallPlatformMain.js', import.meta.resolve('bendfall')))
 
-/** A process of bendfall that is started again when it ends. */
+/** A restartable process of bendfall. */
 export interface SoakNode {
   readonly name: string
   process: ListeningProcess
-  /** Whether a fault ends it now. */
+  /** Whether a fault is ending and restarting the process. */
   isEnding: boolean
   readonly restart: () => Promise<void>
 }
@@ -53,40 +53,40 @@
   readonly replica: FleetReplica
   readonly proxy: FleetProxy
   readonly replicaId: string
-  /** Writes its registration; `none` removes it. */
+  /** Writes the registration; `none` removes it. */
   readonly register: (state: RegisteredState) => void
-  /** Writes its registration again as it last was, as its owner does after a restore. */
+  /** Rewrites the last registration, as its owner does after a restore of the store. */
   readonly writeAgain: () => void
 }
 
-/** How a replica is registered. */
+/** State in the registration of a replica; `none` stands for no registration. */
 export type RegisteredState = 'ready' | 'draining' | 'none'
 
-/** Time in which a replica had said that it leaves, or was no longer registered. */
+/** Period in which a replica was registered as draining or not at all. */
 export interface Absence {
   readonly replica: FleetReplica
   readonly fromMs: number
-  /** Absent while it lasts. */
+  /** Absent while the period lasts. */
   untilMs: number | undefined
 }
 
-/** A word of a replica about itself: it leaves, or wants no request for a time. */
+/** A notice that a replica reports in response headers: it is leaving, or wants no requests for a time. */
 export interface SoakNotice {
   readonly replica: FleetReplica
   readonly kind: 'leaves' | 'backs_off'
   readonly fromMs: number
-  /** End of what it asks for; absent while it lasts. */
+  /** End of the period for which the notice holds; absent while it is unknown. */
   untilMs: number | undefined
 }
 
-/** The fleet. */
+/** A running fleet. */
 export interface SoakFleet {
   readonly notices: SoakNotice[]
-  /** Monotonic times at which replicas ended under the request that ends them. */
+  /** Monotonic times at which the crashing request ended replicas. */
   readonly crashes: readonly number[]
-  /** Absent where callers need no keys. */
+  /** Customers with API keys; absent where callers need none. */
   readonly customers?: SoakCustomers
-  /** Writes the configuration, as the operator does. */
+  /** Writes the configuration to the store, as the operator does. */
   readonly configure: () => void
   readonly away: Absence[]
   readonly store: FleetStore
@@ -94,12 +94,12 @@
   readonly models: readonly SoakReplica[]
   readonly plain: readonly SoakReplica[]
   readonly nodes: readonly SoakNode[]
-  /** `ip:port` of each entry for callers. */
+  /** `ip:port` at which each entry accepts callers. */
   readonly entries: readonly string[]
   readonly close: () => Promise<void>
 }
 
-/** Another replica is to read prompts than those that start so, so that each holder and each restart gives cause for an order. */
+/** Needs one more prefill replica than the fleet starts with, so that each new leader and each restart causes an order. */
 const POOL_INTENT: PoolIntent = { usualPrefillShare: 0.67, leastPrefillShare: 0.5, leastPrefillReplicas: 1, mostPrefillShare: 0.67 }
 
 const CONFIG = createFleetConfig({ host: SOAK_HOST, timeoutMs: 5_000, plain: { timeoutMs: 1_200, targetLatencyMs: 150 }, handleTtlS: 0.5, maxBodyBytes: 100_000 })
@@ -108,8 +108,8 @@
  * Starts the fleet: two entries, a prefill and two decode replicas with their
  * sidecars, and two plain replicas.
  *
- * @param customers - who have keys; absent: callers need none
- * @returns the fleet once all of it listens
+ * @param customers - customers with API keys; absent where callers need none
+ * @returns the fleet once all processes listen
  */
 export async function startSoakFleet (customers?: SoakCustomers): Promise<SoakFleet> {
   const folder = mkdtempSync(join(tmpdir(), 'bendfall-soak-'))
@@ -161,11 +161,10 @@
 }
 
 /**
- * Ends what a replica has said of itself: a process that starts again is not bound by it,
- * and leaves no longer.
+ * Ends the notices and the absence of a replica: they don't apply to a restarted process.
  *
- * @param fleet - with what all replicas said
- * @param replica - that starts again
+ * @param fleet - notices and absences of all replicas
+ * @param replica - replica that restarts
  */
 export function endWords ({ away, notices }: Pick<SoakFleet, 'away' | 'notices'>, replica: FleetReplica): void {
   const nowMs = performance.now()
@@ -174,7 +173,7 @@
   }
 }
 
-// Loopback addresses of this process alone, so that soaks may run side by side.
+// Derives loopback addresses from the process id, so that concurrent soaks don't collide.
 function ip (last: number): string {
   const subnet = process.pid
   return `127.${1 + subnet % SUBNETS}.${Math.floor(subnet / SUBNETS) % SUBNETS}.${last}`
--- a/packages/bendfall-fakes/src/fleet/soak/BendfallFakesSoakLimits.ts
+++ b/packages/bendfall-fakes/src/fleet/soak/BendfallFakesSoakLimits.ts
@@ -1,5 +1,5 @@
 /**
- * Verdict of the soak on limits that replicas name.
+ * Check of the soak for request rate limits that replicas advertise.
  *
  * @module
  */
@@ -8,16 +8,16 @@
 import type { CallRecord } from './BendfallFakesFleetCaller.js'
 import type { SoakFleet } from './BendfallFakesSoakFleet.js'
 
-/** Tells whether an entry itself was undisturbed for long enough; `ip:port` of it. */
+/** Returns whether no recent fault affected the entry itself, which is given as `ip:port`. */
 export type IsEntryCalm = (atMs: number, entry: string) => boolean
 
 /**
- * Finds replicas that got more than a limit of theirs allowed.
+ * Finds replicas that received more requests than an advertised limit allows.
  *
- * @param fleet - its replicas
- * @param records - of all callers
- * @param isEntryCalm - entries that are excused from counting
- * @returns a line for each
+ * @param fleet - replicas to check
+ * @param records - calls of all callers
+ * @param isEntryUndisturbed - returns whether arrivals from an entry count at a given time
+ * @returns one line per violation
  */
 export function findOverLimit ({ models, plain }: Pick<SoakFleet, 'models' | 'plain'>, records: readonly CallRecord[], isEntryCalm: IsEntryCalm): string[] {
   const answers = records.flatMap(({ answeredAtMs, entry, replicaId, requestId }): PassedAnswer[] => [{ requestId, entry, answeredAtMs: answeredAtMs ?? Infinity, replicaId }])
--- a/packages/bendfall-fakes/src/fleet/soak/BendfallFakesSoakNotices.ts
+++ b/packages/bendfall-fakes/src/fleet/soak/BendfallFakesSoakNotices.ts
@@ -1,6 +1,6 @@
 /**
- * Verdicts of the soak on what replicas say of themselves, and on the request that ends
- * each replica which runs it.
+ * Checks of the soak for notices: replicas that report that they are leaving or backing off, and a
+ * request that crashes each replica that runs it.
  *
  * @module
  */
@@ -8,26 +8,34 @@
 import { POISON_PATH } from './BendfallFakesSoakFleet.js'
 import type { SoakFleet, SoakNotice } from './BendfallFakesSoakFleet.js'
 
-/** Tells whether an entry, its way to the store and the store were undisturbed for long enough. */
+/** Returns whether no recent fault affected the entries, the store or the path to it. */
 export type IsCalm = (atMs: number) => boolean
 
-/** Time after which a replica that leaves must get no new work, and slack of a busy machine. */
+/** Time after which a leaving replica must receive no new requests. */
 const DRAIN_MS = 2_000
+
+/** Tolerance for scheduling delays on a busy machine. */
 const SLACK_MS = 300
 
-/** Time in which an entry hears of a backoff, and requests that may reach the replica in the rest of it. */
+/** Time after the first refusal in which an entry learns of a backoff. */
 const HEARD_MS = 500
+
+/** Requests of an entry that may reach the replica in the rest of its backoff. */
 const ALLOWED_IN_BACKOFF = 2
 
-/** Time in which all entries know of the third crash, and sends that may follow. */
+/** Time in which all entries learn of a crash. */
 const CONTACT_MS = 3_000
+
+/** Crashes after which a request must no longer be sent. */
 const ENDING_CRASHES = 3
+
+/** Sends that may still follow once all entries know. */
 const ALLOWED_SENDS = 3
 
-/** Reason that an entry gives for refusing a request that ends replicas. */
+/** Reason with which an entry refuses a request that crashes replicas. */
 const CRASHES = 'crashes_replicas'
 
-/** What the verdicts need. */
+/** Observations that the checks evaluate. */
 export interface NoticeEvidence {
   readonly fleet: SoakFleet
   readonly records: readonly CallRecord[]
@@ -35,10 +43,10 @@
 }
 
 /**
- * Finds requests that reached a replica from an entry which had passed on that it leaves.
+ * Finds requests that an entry sent to a leaving replica after it had forwarded a response with that notice.
  *
- * @param evidence - of the soak
- * @returns a line for each
+ * @param evidence - observations of the soak
+ * @returns one line per violation
  */
 export function findLateToLeaving ({ fleet, isCalm, records }: NoticeEvidence): string[] {
   const byId = new Map(records.map((record) => [record.requestId, record]))
@@ -53,12 +61,12 @@
   })
 }
 
-// First time at which each entry passed on an answer of the replica that said so.
+// Returns when each entry first forwarded a response of the replica that carried the notice.
 function toldTimes ({ models, plain }: SoakFleet, { fromMs, replica, untilMs = Infinity }: SoakNotice, records: readonly CallRecord[]): ReadonlyMap<string, number> {
   const replicaId = [...models, ...plain].find((one) => one.replica === replica)?.replicaId
   const first = new Map<string, number>()
   for (const { answeredAtMs = Infinity, entry, replicaId: answered, startedAtMs } of records) {
-    // One that began before may have been answered before.
+    // The replica may have responded to an earlier call before it issued the notice.
     if (answered !== replicaId || startedAtMs < fromMs || answeredAtMs > untilMs) continue
     first.set(entry, Math.min(answeredAtMs, first.get(entry) ?? Infinity))
   }
@@ -66,10 +74,10 @@
 }
 
 /**
- * Finds entries that sent more to a replica in its backoff than may have been on the way.
+ * Finds entries that sent more requests to a replica during its backoff than may have been in flight.
  *
- * @param evidence - of the soak
- * @returns a line for each
+ * @param evidence - observations of the soak
+ * @returns one line per violation
  */
 export function findInBackoff ({ fleet, isCalm, records }: NoticeEvidence): string[] {
   const byId = new Map(records.map((record) => [record.requestId, record]))
@@ -86,11 +94,11 @@
 }
 
 /**
- * Finds sends of the request that ends replicas, later than all know of its third crash,
- * and others that were refused in its place.
+ * Finds sends of the crashing request after all entries know of its third crash, and other requests
+ * that were refused as if they crashed replicas.
  *
- * @param evidence - of the soak
- * @returns a line for each
+ * @param evidence - observations of the soak
+ * @returns one line per violation
  */
 export function findCrashFaults ({ fleet, isCalm, records }: NoticeEvidence): string[] {
   const knownAtMs = (fleet.crashes[ENDING_CRASHES - 1] ?? Infinity) + CONTACT_MS + SLACK_MS
