--- a/packages/bendfall-fakes/src/fleet/soak/BendfallFakesFleetCaller.ts
+++ b/packages/bendfall-fakes/src/fleet/soak/BendfallFakesFleetCaller.ts
@@ -33,7 +33,7 @@
   /** Replica that signed the response. */
   replicaId?: string
   status: number
-  isWhole: boolean
+  isComplete: boolean
   body: string
 }
 
@@ -53,25 +53,25 @@
  * @returns the outcome, also after a connection error
  */
 export function call (address: string, host: string, { key, kind, path = `/${kind}/1`, requestId }: CallRequest): Promise<CallRecord> {
-  const record: CallRecord = { requestId, kind, key, entry: address, startedAtMs: performance.now(), status: 0, isWhole: false, body: '' }
+  const record: CallRecord = { requestId, kind, key, entry: address, startedAtMs: performance.now(), status: 0, isComplete: false, body: '' }
   const [ip = '', port = ''] = address.split(':')
   const headers = { host, 'x-request-id': requestId, 'x-deadline-ms': '5000', ...(KINDS_WITH_PROMPT.has(kind) ? { 'x-token-counts': TOKENS } : {}), ...(key === undefined ? {} : { 'x-api-key': key }) }
   return new Promise((resolve) => {
     const finish = (): void => resolve(record)
-    const request = httpRequest({ host: ip, port: Number(port), path, method: kind === 'rate' ? 'GET' : 'POST', agent, headers, timeout: CALL_TIMEOUT_MS }, (response) => read(response, record, finish))
+    const request = httpRequest({ host: ip, port: Number(port), path, method: kind === 'rate' ? 'GET' : 'POST', agent, headers, timeout: CALL_TIMEOUT_MS }, (response) => readResponse(response, record, finish))
     request.on('timeout', () => request.destroy())
     request.on('error', finish)
     request.end()
   })
 }
 
-function read (response: IncomingMessage, record: CallRecord, finish: () => void): void {
+function readResponse (response: IncomingMessage, record: CallRecord, finish: () => void): void {
   record.status = response.statusCode ?? 0
   record.answeredAtMs = performance.now()
   record.replicaId = response.headers['x-response-stamp'] as string | undefined
   response.setEncoding('utf8')
   response.on('data', (chunk: string) => { record.body += chunk })
-  response.on('end', () => { record.isWhole = response.complete })
+  response.on('end', () => { record.isComplete = response.complete })
   response.on('error', finish)
   response.on('close', finish)
 }
@@ -83,10 +83,10 @@
  * @param events - number of events in a complete stream
  * @returns a description of the violation; undefined when there is none
  */
-export function findWrongAnswer ({ body, isWhole, kind, requestId, status }: CallRecord, events: number): string | undefined {
+export function findResponseViolation ({ body, isComplete, kind, requestId, status }: CallRecord, events: number): string | undefined {
   if (status !== 200) return undefined
-  if (!KINDS_WITH_PROMPT.has(kind)) return isWhole && body !== `answer to ${requestId}` ? `${requestId}: an answer that is not its own: ${body}` : undefined
+  if (!KINDS_WITH_PROMPT.has(kind)) return isComplete && body !== `answer to ${requestId}` ? `${requestId}: unexpected response body: ${body}` : undefined
   const ids = [...body.matchAll(/^id: (\d+)\n/gm)].map((match) => Number(match[1]))
-  if (ids.some((id, index) => id !== index + 1)) return `${requestId}: pieces missing, doubled or joined: ${ids.join(' ')}`
-  return isWhole && ids.length !== events ? `${requestId}: ends as complete after ${ids.length} of ${events} pieces` : undefined
+  if (ids.some((id, index) => id !== index + 1)) return `${requestId}: events missing, duplicated or merged: ${ids.join(' ')}`
+  return isComplete && ids.length !== events ? `${requestId}: reported as complete after ${ids.length} of ${events} events` : undefined
 }
--- a/packages/bendfall-fakes/src/fleet/soak/BendfallFakesFleetProxy.ts
+++ b/packages/bendfall-fakes/src/fleet/soak/BendfallFakesFleetProxy.ts
@@ -36,12 +36,12 @@
   const silenced = new WeakSet<Socket>()
   let fault: ProxyFault | undefined
 
-  function pass (from: Socket, to: Socket, isAnswer: boolean): void {
+  function forward (from: Socket, to: Socket, isResponse: boolean): void {
     let isLost = false
     let delayedChunks = 0
     from.on('data', (chunk) => {
       // Bytes after lost ones must not arrive either, so the connection stays stalled.
-      isLost ||= fault === 'silent' || silenced.has(from) || (fault === 'one_way' && isAnswer)
+      isLost ||= fault === 'silent' || silenced.has(from) || (fault === 'one_way' && isResponse)
       if (isLost) return
       if (fault !== 'delayed' && delayedChunks === 0) {
         to.write(chunk)
@@ -70,14 +70,14 @@
   const server = createServer({ allowHalfOpen: true }, (caller) => {
     const upstream = connect({ host, port: Number(port), allowHalfOpen: true })
     for (const socket of [caller, upstream]) sockets.add(socket)
-    pass(caller, upstream, false)
-    pass(upstream, caller, true)
+    forward(caller, upstream, false)
+    forward(upstream, caller, true)
   })
   await new Promise<void>((resolve) => server.listen(0, host, resolve))
   const reset = (): void => { for (const socket of sockets) socket.resetAndDestroy() }
   return {
     address: `${host}:${(server.address() as AddressInfo).port}`,
-    harm: (wanted) => { fault = wanted },
+    harm: (newFault) => { fault = newFault },
     silence: () => { for (const socket of sockets) silenced.add(socket) },
     reset,
     close: () => new Promise((resolve) => {
--- a/packages/bendfall-fakes/src/fleet/soak/BendfallFakesFleetSoak.ts
+++ b/packages/bendfall-fakes/src/fleet/soak/BendfallFakesFleetSoak.ts
@@ -7,17 +7,17 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { createDraw } from '../../BendfallFakesClusterFaults.js'
 import type { Draw } from '../../BendfallFakesClusterFaults.js'
-import { call, findWrongAnswer } from './BendfallFakesFleetCaller.js'
+import { call, findResponseViolation } from './BendfallFakesFleetCaller.js'
 import type { CallKind, CallRecord } from './BendfallFakesFleetCaller.js'
 import type { SeenOrder } from '../BendfallFakesFleetReplica.js'
-import { ALL_FAULTS, CUSTOMER_FAULTS, DRILL_FAULTS, inflict, LEAVING_FAULTS, LIMIT_FAULTS, NOTICE_FAULTS } from './BendfallFakesSoakFaults.js'
-import { createSoakCustomers, findWrittenKeys, STEADY_KEY } from './BendfallFakesSoakCustomers.js'
+import { ALL_FAULTS, CUSTOMER_FAULTS, DRILL_FAULTS, injectFault, LEAVING_FAULTS, LIMIT_FAULTS, NOTICE_FAULTS } from './BendfallFakesSoakFaults.js'
+import { createSoakCustomers, findLeakedKeys, STEADY_KEY } from './BendfallFakesSoakCustomers.js'
 import { POISON_PATH, SOAK_EVENTS, SOAK_HOST, startSoakFleet } from './BendfallFakesSoakFleet.js'
 import type { SoakFleet } from './BendfallFakesSoakFleet.js'
-import { findCrashFaults, findInBackoff, findLateToLeaving } from './BendfallFakesSoakNotices.js'
+import { findCrashViolations, findExcessInBackoff, findLateToLeaving } from './BendfallFakesSoakNotices.js'
 import { findOverLimit } from './BendfallFakesSoakLimits.js'
-import type { IsEntryCalm } from './BendfallFakesSoakLimits.js'
-import type { IsCalm, NoticeEvidence } from './BendfallFakesSoakNotices.js'
+import type { IsEntryUndisturbed } from './BendfallFakesSoakLimits.js'
+import type { IsUndisturbed, NoticeEvidence } from './BendfallFakesSoakNotices.js'
 
 /**
  * Set of faults that a soak draws from: `faults` for general faults, `drills` for a store restored
@@ -53,44 +53,44 @@
 const SLACK_MS = 300
 
 /** Late arrivals count only after no fault has affected the store, the path to it or the entry for this long. */
-const CALM_MS = 3_000
+const UNDISTURBED_MS = 3_000
 
 /** Faults during which late arrivals don't count; stalled connections are no excuse. */
-const EXCUSING = /^(kill|pause|terminate) entry|^proxy|^store/
+const EXCUSING_FAULTS = /^(kill|pause|terminate) entry|^proxy|^store/
 
 /** Faults of a single entry, during which its arrivals don't count towards a limit. */
-const ENDING = /^(kill|pause|terminate) /
+const ENTRY_FAULTS = /^(kill|pause|terminate) /
 
 const KINDS: readonly CallKind[] = ['booking', 'brief', 'rate', 'summary']
 const CALLERS = 8
 
 /** Enough callers that each entry calls each replica several times a second, so that one excess request shows. */
-const NOTICE_CALLERS = 32
+const HIGH_LOAD_CALLERS = 32
 
 /** Plans whose checks need this many callers. */
-const MANY_CALLERS: ReadonlySet<SoakPlan> = new Set(['limits', 'notices'])
+const HIGH_LOAD_PLANS: ReadonlySet<SoakPlan> = new Set(['limits', 'notices'])
 
 const CALL_PAUSE_MS = 30
 const POISON_PAUSE_MS = 300
 const FAULT_SERIES = 2
-const REST_MS = [100, 400, 1_000] as const
-const LEAVING_EVERY = 3
+const FAULT_PAUSES_MS = [100, 400, 1_000] as const
+const LEAVING_SEED_STEP = 3
 const RECOVERY_MS = 6_000
-const FREE_MS = 3_000
-const PROOF_CALLS = 12
+const RELEASE_MS = 3_000
+const RECOVERY_CALLS = 12
 
 /** Statuses that guarantee that a request has not run. */
 const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503])
 
 /** Kinds of calls that run at most once. */
-const ONCE: ReadonlySet<CallKind> = new Set(['booking', 'summary'])
+const AT_MOST_ONCE: ReadonlySet<CallKind> = new Set(['booking', 'summary'])
 
 // A third of the seeds draw only faults that excuse no late request to a leaving replica.
-const FAULTS_OF: Readonly<Record<SoakPlan, (seed: number) => readonly string[]>> = {
+const FAULTS_BY_PLAN: Readonly<Record<SoakPlan, (seed: number) => readonly string[]>> = {
   customers: () => CUSTOMER_FAULTS,
   drills: () => DRILL_FAULTS,
   limits: () => LIMIT_FAULTS,
-  faults: (seed) => seed % LEAVING_EVERY === 0 ? LEAVING_FAULTS : ALL_FAULTS,
+  faults: (seed) => seed % LEAVING_SEED_STEP === 0 ? LEAVING_FAULTS : ALL_FAULTS,
   notices: () => NOTICE_FAULTS
 }
 
@@ -106,19 +106,19 @@
   const fleet = await startSoakFleet(plan === 'customers' ? createSoakCustomers() : undefined)
   const records: CallRecord[] = []
   const faults: SoakFault[] = []
-  const names = FAULTS_OF[plan](seed)
+  const names = FAULTS_BY_PLAN[plan](seed)
   try {
-    await untilServed(fleet, seed)
+    await waitUntilServed(fleet, seed)
     const endsAtMs = performance.now() + seconds * 1_000
     const isOver = (): boolean => performance.now() >= endsAtMs
     await Promise.all([
-      ...Array.from({ length: MANY_CALLERS.has(plan) ? NOTICE_CALLERS : CALLERS }, (_, index) => callOn(fleet, `${seed}-${index}`, createDraw(seed * CALLERS + index), records, isOver)),
-      ...(plan === 'notices' ? [poisonOn(fleet, seed, records, isOver)] : []),
-      ...Array.from({ length: FAULT_SERIES }, (_, index) => harmOn(fleet, createDraw(seed * FAULT_SERIES + index), names, faults, isOver))
+      ...Array.from({ length: HIGH_LOAD_PLANS.has(plan) ? HIGH_LOAD_CALLERS : CALLERS }, (_, index) => runCaller(fleet, `${seed}-${index}`, createDraw(seed * CALLERS + index), records, isOver)),
+      ...(plan === 'notices' ? [sendPoison(fleet, seed, records, isOver)] : []),
+      ...Array.from({ length: FAULT_SERIES }, (_, index) => injectFaults(fleet, createDraw(seed * FAULT_SERIES + index), names, faults, isOver))
     ])
-    const evidence = { fleet, records, isCalm: createCalm(faults) }
-    const violations = [...findViolations(fleet, records), ...findCustomerFaults(fleet, records), ...findLateArrivals(evidence), ...findLateToLeaving(evidence), ...findInBackoff(evidence), ...findCrashFaults(evidence), ...findOverLimit(fleet, records, createEntryCalm(fleet, faults)), ...findFenceFaults(fleet.models.flatMap(({ replica }) => replica.orders)), ...await findUnrecovered(fleet, seed), ...await findHeld(fleet)]
-    const answered = records.filter(({ isWhole, status }) => status === 200 && isWhole).length
+    const evidence = { fleet, records, isUndisturbed: createUndisturbedCheck(faults) }
+    const violations = [...findViolations(fleet, records), ...findCustomerViolations(fleet, records), ...findLateArrivals(evidence), ...findLateToLeaving(evidence), ...findExcessInBackoff(evidence), ...findCrashViolations(evidence), ...findOverLimit(fleet, records, createEntryUndisturbedCheck(fleet, faults)), ...findFenceFaults(fleet.models.flatMap(({ replica }) => replica.orders)), ...await findUnrecovered(fleet, seed), ...await findUnreleased(fleet)]
+    const answered = records.filter(({ isComplete, status }) => status === 200 && isComplete).length
     const refused = records.filter(({ status }) => NOT_RUN_STATUSES.has(status)).length
     const orders = fleet.models.reduce((sum, { replica }) => sum + replica.orders.length, 0)
     return { calls: records.length, answered, refused, orders, faults: faults.map(describeFault), violations, evidence: findEvidence(fleet, violations) }
@@ -127,7 +127,7 @@
   }
 }
 
-async function callOn (fleet: SoakFleet, name: string, draw: Draw, records: CallRecord[], isOver: () => boolean): Promise<void> {
+async function runCaller (fleet: SoakFleet, name: string, draw: Draw, records: CallRecord[], isOver: () => boolean): Promise<void> {
   for (let i = 0; !isOver(); i++) {
     const entry = draw(fleet.entries)
     records.push(await call(entry, SOAK_HOST, { kind: draw(KINDS), requestId: `${name}-${i}`, key: fleet.customers?.drawKey(draw) }))
@@ -135,7 +135,7 @@
   }
 }
 
-async function poisonOn (fleet: SoakFleet, seed: number, records: CallRecord[], isOver: () => boolean): Promise<void> {
+async function sendPoison (fleet: SoakFleet, seed: number, records: CallRecord[], isOver: () => boolean): Promise<void> {
   const draw = createDraw(seed)
   for (let i = 0; !isOver(); i++) {
     records.push(await call(draw(fleet.entries), SOAK_HOST, { kind: 'rate', path: POISON_PATH, requestId: `poison-${seed}-${i}` }))
@@ -143,12 +143,12 @@
   }
 }
 
-async function harmOn (fleet: SoakFleet, draw: Draw, names: readonly string[], faults: SoakFault[], isOver: () => boolean): Promise<void> {
+async function injectFaults (fleet: SoakFleet, draw: Draw, names: readonly string[], faults: SoakFault[], isOver: () => boolean): Promise<void> {
   while (!isOver()) {
     const fromMs = performance.now()
-    const name = await inflict(fleet, draw, names)
+    const name = await injectFault(fleet, draw, names)
     faults.push({ name, fromMs, untilMs: performance.now() })
-    await sleep(draw(REST_MS))
+    await sleep(draw(FAULT_PAUSES_MS))
   }
 }
 
@@ -157,35 +157,35 @@
   return records.flatMap((record) => {
     const { kind, requestId, status } = record
     const ran = runs.get(requestId) ?? 0
-    const found = [findWrongAnswer(record, SOAK_EVENTS)]
-    if (ONCE.has(kind) && ran > 1) found.push(`${requestId}: ${kind} ran ${ran} times`)
-    if (NOT_RUN_STATUSES.has(status) && ONCE.has(kind) && ran > 0) found.push(`${requestId}: ${kind} refused with ${status} and ran`)
+    const found = [findResponseViolation(record, SOAK_EVENTS)]
+    if (AT_MOST_ONCE.has(kind) && ran > 1) found.push(`${requestId}: ${kind} ran ${ran} times`)
+    if (NOT_RUN_STATUSES.has(status) && AT_MOST_ONCE.has(kind) && ran > 0) found.push(`${requestId}: ${kind} refused with ${status} and ran`)
     return found.filter((one) => one !== undefined)
   })
 }
 
-function findCustomerFaults ({ customers, models, nodes, plain }: SoakFleet, records: readonly CallRecord[]): string[] {
+function findCustomerViolations ({ customers, models, nodes, plain }: SoakFleet, records: readonly CallRecord[]): string[] {
   if (customers === undefined) return []
   const runs = [...models, ...plain].flatMap(({ replica }) => replica.seen.filter(({ isRefused, kind }) => kind === 'run' && !isRefused))
-  return [...customers.judge(records, runs), ...findWrittenKeys(nodes.flatMap(({ process }) => process.lines))]
+  return [...customers.findViolations(records, runs), ...findLeakedKeys(nodes.flatMap(({ process }) => process.lines))]
 }
 
-function createCalm (faults: readonly SoakFault[]): IsCalm {
-  const excuses = faults.filter(({ name }) => EXCUSING.test(name))
-  return (atMs) => excuses.every(({ fromMs, untilMs }) => atMs < fromMs || atMs > untilMs + CALM_MS)
+function createUndisturbedCheck (faults: readonly SoakFault[]): IsUndisturbed {
+  const excuses = faults.filter(({ name }) => EXCUSING_FAULTS.test(name))
+  return (atMs) => excuses.every(({ fromMs, untilMs }) => atMs < fromMs || atMs > untilMs + UNDISTURBED_MS)
 }
 
 // Killing, pausing or terminating an entry excuses only that entry.
-function createEntryCalm ({ entries }: SoakFleet, faults: readonly SoakFault[]): IsEntryCalm {
-  const excuses = faults.filter(({ name }) => ENDING.test(name))
-  return (atMs, entry) => excuses.every(({ fromMs, name, untilMs }) => !name.endsWith(`entry-${entries.indexOf(entry)}`) || atMs < fromMs || atMs > untilMs + CALM_MS)
+function createEntryUndisturbedCheck ({ entries }: SoakFleet, faults: readonly SoakFault[]): IsEntryUndisturbed {
+  const excuses = faults.filter(({ name }) => ENTRY_FAULTS.test(name))
+  return (atMs, entry) => excuses.every(({ fromMs, name, untilMs }) => !name.endsWith(`entry-${entries.indexOf(entry)}`) || atMs < fromMs || atMs > untilMs + UNDISTURBED_MS)
 }
 
 // A leaving replica must receive no new requests after the drain time.
-function findLateArrivals ({ fleet: { away }, isCalm }: NoticeEvidence): string[] {
-  return away.flatMap(({ fromMs, replica, untilMs = Infinity }) => replica.seen
-    .filter(({ atMs }) => atMs > fromMs + DRAIN_MS + SLACK_MS && atMs < untilMs && isCalm(atMs))
-    .map(({ atMs, requestId }) => `${requestId} reached ${replica.address} ${Math.round(atMs - fromMs)} ms after it left (at ${Math.round(atMs)}, wall ${new Date(performance.timeOrigin + atMs).toISOString()})`))
+function findLateArrivals ({ fleet: { absences }, isUndisturbed }: NoticeEvidence): string[] {
+  return absences.flatMap(({ fromMs, replica, untilMs = Infinity }) => replica.seen
+    .filter(({ atMs }) => atMs > fromMs + DRAIN_MS + SLACK_MS && atMs < untilMs && isUndisturbed(atMs))
+    .map(({ atMs, requestId }) => `${requestId} reached ${replica.address} ${Math.round(atMs - fromMs)} ms after it started to leave (at ${Math.round(atMs)}, wall ${new Date(performance.timeOrigin + atMs).toISOString()})`))
 }
 
 /**
@@ -199,8 +199,8 @@
   let highest = 0
   return [...orders].sort((one, other) => one.atMs - other.atMs).flatMap(({ atMs, fence, holder }) => {
     const found: string[] = []
-    const former = holders.get(fence)
-    if (former !== undefined && former !== holder) found.push(`fence ${fence} of ${former} was used by ${holder} at ${Math.round(atMs)}`)
+    const previous = holders.get(fence)
+    if (previous !== undefined && previous !== holder) found.push(`fence ${fence} of ${previous} was used by ${holder} at ${Math.round(atMs)}`)
     if (fence < highest) found.push(`${holder} ordered with fence ${fence} at ${Math.round(atMs)}, behind ${highest} of ${holders.get(highest)}`)
     holders.set(fence, holder)
     highest = Math.max(highest, fence)
@@ -218,8 +218,8 @@
 function findEvidence ({ nodes }: SoakFleet, violations: readonly string[]): string[] {
   if (violations.length === 0) return []
   const requestIds = violations.map((violation) => violation.split(/[ :]/, 1)[0] ?? '')
-  const tells = (line: string): boolean => MEMBERSHIP_EVENTS.test(line) || requestIds.some((requestId) => line.includes(`request=${requestId} `))
-  return nodes.flatMap(({ process }) => process.lines.filter(tells)).sort()
+  const isRelevant = (line: string): boolean => MEMBERSHIP_EVENTS.test(line) || requestIds.some((requestId) => line.includes(`request=${requestId} `))
+  return nodes.flatMap(({ process }) => process.lines.filter(isRelevant)).sort()
 }
 
 function countRuns ({ models, plain }: SoakFleet): ReadonlyMap<string, number> {
@@ -233,11 +233,11 @@
 }
 
 async function isServed (fleet: SoakFleet, entry: string, kind: CallKind, requestId: string): Promise<boolean> {
-  const { isWhole, status } = await call(entry, SOAK_HOST, { kind, requestId, key: fleet.customers === undefined ? undefined : STEADY_KEY })
-  return status === 200 && isWhole
+  const { isComplete, status } = await call(entry, SOAK_HOST, { kind, requestId, key: fleet.customers === undefined ? undefined : STEADY_KEY })
+  return status === 200 && isComplete
 }
 
-async function untilServed (fleet: SoakFleet, seed: number): Promise<void> {
+async function waitUntilServed (fleet: SoakFleet, seed: number): Promise<void> {
   for (const entry of fleet.entries) {
     for (let i = 0; !await isServed(fleet, entry, 'summary', `first-${seed}-${entry}-${i}`); i++) {
       if (i === 100) throw new Error(`${entry} serves no request after the start of the fleet`)
@@ -251,7 +251,7 @@
   for (const { replica } of [...fleet.models, ...fleet.plain]) replica.heal()
   await sleep(RECOVERY_MS)
   const unserved: string[] = []
-  for (let i = 0; i < PROOF_CALLS; i++) {
+  for (let i = 0; i < RECOVERY_CALLS; i++) {
     const entry = fleet.entries[i % fleet.entries.length] as string
     const kind = KINDS[i % KINDS.length] as CallKind
     const requestId = `last-${seed}-${i}`
@@ -261,7 +261,7 @@
 }
 
 // No replica may still run a request whose caller has left.
-async function findHeld ({ models }: SoakFleet): Promise<string[]> {
-  await sleep(FREE_MS)
+async function findUnreleased ({ models }: SoakFleet): Promise<string[]> {
+  await sleep(RELEASE_MS)
   return models.filter(({ replica }) => replica.running() > 0).map(({ replica }) => `${replica.address} still runs ${replica.running()} requests`)
 }
--- a/packages/bendfall-fakes/src/fleet/soak/BendfallFakesSoakCustomers.ts
+++ b/packages/bendfall-fakes/src/fleet/soak/BendfallFakesSoakCustomers.ts
@@ -9,7 +9,7 @@
 import type { CallRecord } from './BendfallFakesFleetCaller.js'
 
 /** Common prefix of all keys, so that one search finds any of them. */
-const KEY_MARK = 'soak-key-'
+const KEY_PREFIX = 'soak-key-'
 
 /** Time after which a revoked key must be rejected. */
 export const SOAK_REVOKED_WITHIN_MS = 2_000
@@ -22,23 +22,23 @@
 const FLOODING = 'flooding'
 
 /** Key that is never revoked; the calls after the faults use it. */
-export const STEADY_KEY = `${KEY_MARK}steady`
+export const STEADY_KEY = `${KEY_PREFIX}steady`
 
 const CUSTOMERS = ['steady', 'moving', FLOODING] as const
 type CustomerName = (typeof CUSTOMERS)[number]
 
-const FIRST_HOLDERS: Readonly<Record<string, CustomerName>> = {
+const INITIAL_CUSTOMERS: Readonly<Record<string, CustomerName>> = {
   [STEADY_KEY]: 'steady',
-  [`${KEY_MARK}1`]: 'moving',
-  [`${KEY_MARK}2`]: 'moving',
-  [`${KEY_MARK}3`]: FLOODING,
-  [`${KEY_MARK}4`]: FLOODING
+  [`${KEY_PREFIX}1`]: 'moving',
+  [`${KEY_PREFIX}2`]: 'moving',
+  [`${KEY_PREFIX}3`]: FLOODING,
+  [`${KEY_PREFIX}4`]: FLOODING
 }
 
-const UNKNOWN_KEY = `${KEY_MARK}unknown`
+const UNKNOWN_KEY = `${KEY_PREFIX}unknown`
 
 /** Period in which a key belonged to a customer. */
-interface Holding {
+interface KeyAssignment {
   readonly key: string
   readonly customer: CustomerName
   readonly fromMs: number
@@ -65,54 +65,54 @@
    * @param runs - requests that replicas ran
    * @returns one line per violation
    */
-  readonly judge: (records: readonly CallRecord[], runs: readonly SeenRequest[]) => string[]
+  readonly findViolations: (records: readonly CallRecord[], runs: readonly SeenRequest[]) => string[]
 }
 
 /** @returns the customers, each with its initial keys */
 export function createSoakCustomers (): SoakCustomers {
-  const holdings: Holding[] = []
-  const holdingOf = (key: string): Holding | undefined => holdings.find((one) => one.key === key && one.untilMs === Infinity)
+  const assignments: KeyAssignment[] = []
+  const findCurrentAssignment = (key: string): KeyAssignment | undefined => assignments.find((one) => one.key === key && one.untilMs === Infinity)
 
-  function give (key: string, customer: CustomerName | undefined): void {
+  function assignKey (key: string, customer: CustomerName | undefined): void {
     const nowMs = performance.now()
-    const held = holdingOf(key)
-    if (held?.customer === customer) return
-    if (held !== undefined) held.untilMs = nowMs
-    if (customer !== undefined) holdings.push({ key, customer, fromMs: nowMs, untilMs: Infinity })
+    const current = findCurrentAssignment(key)
+    if (current?.customer === customer) return
+    if (current !== undefined) current.untilMs = nowMs
+    if (customer !== undefined) assignments.push({ key, customer, fromMs: nowMs, untilMs: Infinity })
   }
 
   function restore (): void {
-    for (const [key, customer] of Object.entries(FIRST_HOLDERS)) give(key, customer)
+    for (const [key, customer] of Object.entries(INITIAL_CUSTOMERS)) assignKey(key, customer)
   }
 
   // A run is allowed for the customer that held the key when the call began or lost it within the revocation bound before.
   function mayRun ({ key = '', startedAtMs }: CallRecord, { atMs, headers }: SeenRequest): boolean {
-    return holdings.some((one) => one.key === key && one.customer === headers['x-tenant'] && one.fromMs <= atMs && startedAtMs <= one.untilMs + SOAK_REVOKED_WITHIN_MS)
+    return assignments.some((one) => one.key === key && one.customer === headers['x-tenant'] && one.fromMs <= atMs && startedAtMs <= one.untilMs + SOAK_REVOKED_WITHIN_MS)
   }
 
-  function judge (records: readonly CallRecord[], runs: readonly SeenRequest[]): string[] {
+  function findViolations (records: readonly CallRecord[], runs: readonly SeenRequest[]): string[] {
     const byId = new Map(records.map((record) => [record.requestId, record]))
     const wrong = runs.flatMap((run) => {
       const record = byId.get(run.requestId)
-      if (JSON.stringify(run.headers).includes(KEY_MARK)) return [`${run.requestId}: its key was passed on`]
+      if (JSON.stringify(run.headers).includes(KEY_PREFIX)) return [`${run.requestId}: its key was forwarded to a replica`]
       if (record === undefined || mayRun(record, run)) return []
-      return [`${run.requestId}: ran for ${run.headers['x-tenant']} at ${Math.round(run.atMs)}, its key had ${holdings.filter(({ key }) => key === record.key).map(({ customer, fromMs, untilMs }) => `${customer} ${Math.round(fromMs)}-${Math.round(untilMs)}`).join(', ')}`]
+      return [`${run.requestId}: ran for ${run.headers['x-tenant']} at ${Math.round(run.atMs)}; its key belonged to ${assignments.filter(({ key }) => key === record.key).map(({ customer, fromMs, untilMs }) => `${customer} ${Math.round(fromMs)}-${Math.round(untilMs)}`).join(', ')}`]
     })
     return [...wrong, ...findBeyondLimit(records, runs)]
   }
 
   restore()
   return {
-    tenants: () => CUSTOMERS.map((name) => ({ name, 'api-keys': holdings.filter(({ customer, untilMs }) => customer === name && untilMs === Infinity).map(({ key }) => key), ...(name === FLOODING ? LIMIT : {}) })),
+    tenants: () => CUSTOMERS.map((name) => ({ name, 'api-keys': assignments.filter(({ customer, untilMs }) => customer === name && untilMs === Infinity).map(({ key }) => key), ...(name === FLOODING ? LIMIT : {}) })),
     change: (draw) => {
-      const key = draw(Object.keys(FIRST_HOLDERS).filter((one) => one !== STEADY_KEY))
+      const key = draw(Object.keys(INITIAL_CUSTOMERS).filter((one) => one !== STEADY_KEY))
       const customer = draw([undefined, ...CUSTOMERS])
-      give(key, customer)
-      return `${key} to ${customer ?? 'nobody'}`
+      assignKey(key, customer)
+      return `${key} to ${customer ?? 'no customer'}`
     },
     restore,
-    drawKey: (draw) => draw([...Object.keys(FIRST_HOLDERS), `${KEY_MARK}3`, `${KEY_MARK}4`, UNKNOWN_KEY]),
-    judge
+    drawKey: (draw) => draw([...Object.keys(INITIAL_CUSTOMERS), `${KEY_PREFIX}3`, `${KEY_PREFIX}4`, UNKNOWN_KEY]),
+    findViolations
   }
 }
 
@@ -122,8 +122,8 @@
  * @param lines - output lines of all processes
  * @returns one line per leak
  */
-export function findWrittenKeys (lines: readonly string[]): string[] {
-  return lines.filter((line) => line.includes(KEY_MARK)).map((line) => `written: ${line}`)
+export function findLeakedKeys (lines: readonly string[]): string[] {
+  return lines.filter((line) => line.includes(KEY_PREFIX)).map((line) => `leaked key: ${line}`)
 }
 
 // Counts a request in a window only if both the call and the run at a replica lie within it.
--- a/packages/bendfall-fakes/src/fleet/soak/BendfallFakesSoakFaults.ts
+++ b/packages/bendfall-fakes/src/fleet/soak/BendfallFakesSoakFaults.ts
@@ -7,7 +7,7 @@
 import type { Draw } from '../../BendfallFakesClusterFaults.js'
 import type { FleetReplica, FleetReplicaFault } from '../BendfallFakesFleetReplica.js'
 import type { FleetProxy, ProxyFault } from './BendfallFakesFleetProxy.js'
-import { endWords } from './BendfallFakesSoakFleet.js'
+import { endNotices } from './BendfallFakesSoakFleet.js'
 import type { SoakFleet, SoakNode } from './BendfallFakesSoakFleet.js'
 
 const FAULT_MS = [150, 600, 1_500, 3_000] as const
@@ -15,15 +15,15 @@
 const PROXY_FAULTS: readonly ProxyFault[] = ['delayed', 'one_way', 'silent']
 
 /** Time before a leaving replica starts again: longer than the drain time, so that late requests show. */
-const AWAY_MS = 4_500
+const ABSENCE_MS = 4_500
 
 const MS_PER_SECOND = 1_000
 
 /** Time for which entries can't reach the store: longer than they trust API keys without a refresh. */
-const CUT_MS = 4_500
+const PARTITION_MS = 4_500
 
 /** Invalid or unrelated documents that another writer may store among the registrations. */
-const FOREIGN_ENTRIES: ReadonlyArray<(address: string) => unknown> = [
+const FOREIGN_REGISTRATIONS: ReadonlyArray<(address: string) => unknown> = [
   () => 'no registration',
   (address) => ({ service: 'app', address }),
   (address) => ({ service: 'other', address, zone: 'a', version: 'v1', slots: 6, state: 'ready', 'cold-remaining-ms': 0, seq: 1 }),
@@ -31,10 +31,10 @@
 ]
 
 /** Age of the backup from which the store is restored. */
-const COPY_AGE_MS = [300, 1_500, 4_000] as const
+const BACKUP_AGES_MS = [300, 1_500, 4_000] as const
 
 /** Time after a restore in which live owners rewrite their documents; documents that nobody rewrites lapse. */
-const WRITTEN_AGAIN_MS = 2_000
+const REWRITE_MS = 2_000
 
 /** Limits that replicas advertise, requests per second; 0 asks for no requests, without an end. */
 const LIMITS_PER_S = [0, 0.2, 2, 5.1, 20] as const
@@ -48,13 +48,13 @@
 /** Backoffs that replicas request: whole seconds, as in `Retry-After`. */
 const BACKOFF_S = [1, 2, 3] as const
 
-type Inflict = (fleet: SoakFleet, draw: Draw) => Promise<string>
+type InjectFault = (fleet: SoakFleet, draw: Draw) => Promise<string>
 
-const FAULTS: Readonly<Record<string, Inflict>> = {
+const FAULTS: Readonly<Record<string, InjectFault>> = {
   back_off: async ({ models, notices, plain }, draw) => {
     const { replica, replicaId } = draw([...models, ...plain])
     // Each refusal restarts the backoff, so a replica that already has a notice is left out.
-    if (notices.some((one) => one.replica === replica && one.untilMs === undefined)) return 'nobody'
+    if (notices.some((one) => one.replica === replica && one.untilMs === undefined)) return 'skipped'
     const seconds = draw(BACKOFF_S)
     const fromMs = performance.now()
     replica.askForBackoff(seconds)
@@ -67,13 +67,13 @@
   cut_off: async ({ storeProxy }, draw) => {
     const fault = draw(['one_way', 'silent'] as const)
     storeProxy.harm(fault)
-    await sleep(CUT_MS)
+    await sleep(PARTITION_MS)
     storeProxy.harm(undefined)
     return fault
   },
   foreign: async ({ plain, store }, draw) => {
     const { proxy } = draw(plain)
-    store.put('servers/foreign', draw(FOREIGN_ENTRIES)(proxy.address))
+    store.put('servers/foreign', draw(FOREIGN_REGISTRATIONS)(proxy.address))
     await sleep(draw(FAULT_MS))
     store.remove('servers/foreign')
     return proxy.address
@@ -82,32 +82,32 @@
     const changed = customers?.change(draw)
     configure()
     await sleep(draw([0, ...FAULT_MS]))
-    return changed ?? 'nobody'
+    return changed ?? 'no customers'
   },
   kill: async (fleet, draw) => {
     const node = draw(fleet.nodes)
-    await end(node, 'SIGKILL', draw)
+    await endNode(node, 'SIGKILL', draw)
     return node.name
   },
   leave: async (fleet, draw) => {
-    const { away, plain } = fleet
+    const { absences, plain } = fleet
     // Only one replica leaves at a time, so that the others can serve.
-    if (away.some(({ untilMs }) => untilMs === undefined)) return 'nobody'
-    const one = draw(plain)
+    if (absences.some(({ untilMs }) => untilMs === undefined)) return 'skipped'
+    const target = draw(plain)
     const state = draw(['draining', 'none'] as const)
-    one.register(state)
-    away.push({ replica: one.replica, fromMs: performance.now(), untilMs: undefined })
-    await sleep(AWAY_MS)
-    endWords(fleet, one.replica)
-    one.replica.restart()
-    one.register('ready')
-    return `${one.replicaId} ${state}`
+    target.register(state)
+    absences.push({ replica: target.replica, fromMs: performance.now(), untilMs: undefined })
+    await sleep(ABSENCE_MS)
+    endNotices(fleet, target.replica)
+    target.replica.restart()
+    target.register('ready')
+    return `${target.replicaId} ${state}`
   },
   limit: async ({ models, plain }, draw) => {
     const { replica, replicaId } = draw([...models, ...plain, ...plain])
-    return await nameLimits([replica], draw, replicaId)
+    return await advertiseLimits([replica], draw, replicaId)
   },
-  limit_all: async ({ plain }, draw) => await nameLimits(plain.map(({ replica }) => replica), draw, 'plain'),
+  limit_all: async ({ plain }, draw) => await advertiseLimits(plain.map(({ replica }) => replica), draw, 'plain'),
   pause: async (fleet, draw) => {
     const node = draw(fleet.nodes)
     const { process } = node
@@ -136,11 +136,11 @@
     return proxy.address
   },
   restart: async (fleet, draw) => {
-    const one = draw([...fleet.models, ...fleet.plain])
-    endWords(fleet, one.replica)
-    one.replica.restart()
-    one.register('ready')
-    return one.replicaId
+    const target = draw([...fleet.models, ...fleet.plain])
+    endNotices(fleet, target.replica)
+    target.replica.restart()
+    target.register('ready')
+    return target.replicaId
   },
   silence: async (fleet, draw) => {
     const proxy = draw(proxiesOf(fleet))
@@ -158,45 +158,45 @@
     return 'store'
   },
   store_restored: async ({ configure, models, plain, store }, draw) => {
-    const copyAgeMs = draw(COPY_AGE_MS)
+    const copyAgeMs = draw(BACKUP_AGES_MS)
     await store.restore({ copyAgeMs, awayMs: draw(FAULT_MS) })
-    for (const write of [configure, ...[...models, ...plain].map(({ writeAgain }) => writeAgain)]) {
-      await sleep(draw([0, WRITTEN_AGAIN_MS / 10]))
+    for (const write of [configure, ...[...models, ...plain].map(({ rewriteRegistration }) => rewriteRegistration)]) {
+      await sleep(draw([0, REWRITE_MS / 10]))
       write()
     }
-    return `store, a copy of ${copyAgeMs} ms before`
+    return `store, from a backup ${copyAgeMs} ms old`
   },
   say_leaving: async (fleet, draw) => {
     const { notices, plain } = fleet
-    if (notices.some(({ kind, untilMs }) => kind === 'leaves' && untilMs === undefined)) return 'nobody'
-    const one = draw(plain)
-    const notice = { replica: one.replica, kind: 'leaves' as const, fromMs: performance.now(), untilMs: undefined as number | undefined }
+    if (notices.some(({ kind, untilMs }) => kind === 'leaves' && untilMs === undefined)) return 'skipped'
+    const target = draw(plain)
+    const notice = { replica: target.replica, kind: 'leaves' as const, fromMs: performance.now(), untilMs: undefined as number | undefined }
     notices.push(notice)
-    one.replica.sayLeaving()
-    await sleep(AWAY_MS)
-    endWords(fleet, one.replica)
-    one.replica.restart()
-    one.register('ready')
-    return one.replicaId
+    target.replica.sayLeaving()
+    await sleep(ABSENCE_MS)
+    endNotices(fleet, target.replica)
+    target.replica.restart()
+    target.register('ready')
+    return target.replicaId
   },
   terminate: async (fleet, draw) => {
     const node = draw(fleet.nodes)
-    await end(node, 'SIGTERM', draw)
+    await endNode(node, 'SIGTERM', draw)
     return node.name
   }
 }
 
 // Advertises limits in sequence and then lifts them; a concurrent series may advertise one for the same replica.
-async function nameLimits (replicas: readonly FleetReplica[], draw: Draw, name: string): Promise<string> {
-  const told: number[] = []
+async function advertiseLimits (replicas: readonly FleetReplica[], draw: Draw, name: string): Promise<string> {
+  const advertised: number[] = []
   for (let i = 0; i < LIMIT_CHANGES; i++) {
     const perS = draw(LIMITS_PER_S)
-    told.push(perS)
+    advertised.push(perS)
     for (const replica of replicas) replica.nameLimit(perS)
     await sleep(draw(LIMIT_MS))
   }
   for (const replica of replicas) replica.nameLimit(undefined)
-  return `${name} ${told.join(', ')} a second`
+  return `${name} ${advertised.join(', ')} requests/s`
 }
 
 const DRILL = 'store_restored'
@@ -228,12 +228,12 @@
  * @param names - faults to draw from
  * @returns name and target of the fault
  */
-export async function inflict (fleet: SoakFleet, draw: Draw, names: readonly string[]): Promise<string> {
+export async function injectFault (fleet: SoakFleet, draw: Draw, names: readonly string[]): Promise<string> {
   const name = draw(names)
   return `${name} ${await FAULTS[name]?.(fleet, draw)}`
 }
 
-async function end (node: SoakNode, signal: 'SIGKILL' | 'SIGTERM', draw: Draw): Promise<void> {
+async function endNode (node: SoakNode, signal: 'SIGKILL' | 'SIGTERM', draw: Draw): Promise<void> {
   // A concurrent series of faults already ends this node.
   if (node.isEnding) return
   node.isEnding = true
--- a/packages/bendfall-fakes/src/fleet/soak/BendfallFakesSoakFleet.ts
+++ b/packages/bendfall-fakes/src/fleet/soak/BendfallFakesSoakFleet.ts
@@ -56,7 +56,7 @@
   /** Writes the registration; `none` removes it. */
   readonly register: (state: RegisteredState) => void
   /** Rewrites the last registration, as its owner does after a restore of the store. */
-  readonly writeAgain: () => void
+  readonly rewriteRegistration: () => void
 }
 
 /** State in the registration of a replica; `none` stands for no registration. */
@@ -88,7 +88,7 @@
   readonly customers?: SoakCustomers
   /** Writes the configuration to the store, as the operator does. */
   readonly configure: () => void
-  readonly away: Absence[]
+  readonly absences: Absence[]
   readonly store: FleetStore
   readonly storeProxy: FleetProxy
   readonly models: readonly SoakReplica[]
@@ -113,17 +113,17 @@
  */
 export async function startSoakFleet (customers?: SoakCustomers): Promise<SoakFleet> {
   const folder = mkdtempSync(join(tmpdir(), 'bendfall-soak-'))
-  const store = await startFleetStore(ip(1))
+  const store = await startFleetStore(loopbackIp(1))
   const storeProxy = await startFleetProxy(store.address)
   const models: SoakReplica[] = []
   const crashes: number[] = []
-  const words = { away: [] as Absence[], notices: [] as SoakNotice[] }
+  const replicaNotices = { absences: [] as Absence[], notices: [] as SoakNotice[] }
   const onCrash = (replica: FleetReplica): void => {
     crashes.push(performance.now())
-    endWords(words, replica)
+    endNotices(replicaNotices, replica)
   }
-  for (const [index, stage] of (['prefill', 'decode', 'decode'] as const).entries()) models.push(await startReplica(store, ip(11 + index), `m${index}`, onCrash, stage))
-  const plain = [await startReplica(store, ip(21), 'a0', onCrash), await startReplica(store, ip(22), 'a1', onCrash), await startReplica(store, ip(23), 'a2', onCrash)]
+  for (const [index, stage] of (['prefill', 'decode', 'decode'] as const).entries()) models.push(await startReplica(store, loopbackIp(11 + index), `m${index}`, onCrash, stage))
+  const plain = [await startReplica(store, loopbackIp(21), 'a0', onCrash), await startReplica(store, loopbackIp(22), 'a1', onCrash), await startReplica(store, loopbackIp(23), 'a2', onCrash)]
   for (const one of [...models, ...plain]) one.register('ready')
   let version = 0
   const configure = (): void => {
@@ -134,13 +134,13 @@
   const poolsFile = join(folder, 'pools.json')
   writeFileSync(poolsFile, JSON.stringify({ intent: POOL_INTENT, confirmedDigest: digestPoolIntent(POOL_INTENT) }))
   const shared = { poolsFile, availabilityZone: 'a', peerPorts: [PEER_PORT, PEER_PORT + 9] as const, keyValueAddress: storeProxy.address, stopGraceS: 4, credentials: { revokedWithinMs: SOAK_REVOKED_WITHIN_MS }, allotments: SOAK_ALLOTMENTS }
-  const entryIps = [ip(2), ip(3)]
+  const entryIps = [loopbackIp(2), loopbackIp(3)]
   const nodes = [
     ...await Promise.all(models.map(({ replica }, index) => startNode(folder, 'sidecar', { ...shared, instanceId: `sidecar-${index}`, ip: hostOf(replica.address), replicaAddress: replica.address }))),
-    ...await Promise.all(entryIps.map((own, index) => startNode(folder, 'entry', { ...shared, instanceId: `entry-${index}`, ip: own, callersListen: `${own}:${CALLERS_PORT}`, readyListen: `${own}:${READY_PORT}` })))
+    ...await Promise.all(entryIps.map((entryIp, index) => startNode(folder, 'entry', { ...shared, instanceId: `entry-${index}`, ip: entryIp, callersListen: `${entryIp}:${CALLERS_PORT}`, readyListen: `${entryIp}:${READY_PORT}` })))
   ]
   return {
-    ...words,
+    ...replicaNotices,
     crashes,
     customers,
     configure,
@@ -166,15 +166,15 @@
  * @param fleet - notices and absences of all replicas
  * @param replica - replica that restarts
  */
-export function endWords ({ away, notices }: Pick<SoakFleet, 'away' | 'notices'>, replica: FleetReplica): void {
+export function endNotices ({ absences, notices }: Pick<SoakFleet, 'absences' | 'notices'>, replica: FleetReplica): void {
   const nowMs = performance.now()
-  for (const word of [...away, ...notices]) {
-    if (word.replica === replica) word.untilMs = Math.min(nowMs, word.untilMs ?? Infinity)
+  for (const notice of [...absences, ...notices]) {
+    if (notice.replica === replica) notice.untilMs = Math.min(nowMs, notice.untilMs ?? Infinity)
   }
 }
 
 // Derives loopback addresses from the process id, so that concurrent soaks don't collide.
-function ip (last: number): string {
+function loopbackIp (last: number): string {
   const subnet = process.pid
   return `127.${1 + subnet % SUBNETS}.${Math.floor(subnet / SUBNETS) % SUBNETS}.${last}`
 }
@@ -203,7 +203,7 @@
     seq += 1
     store.put(key, { born: replica.startedAtMs(), service: stage === undefined ? 'app' : 'llm', address: proxy.address, zone: 'a', version: 'v1', slots: 6, state, 'cold-remaining-ms': 0, stage: replica.stage(), seq })
   }
-  return { replica, proxy, replicaId, register, writeAgain: () => register(registered) }
+  return { replica, proxy, replicaId, register, rewriteRegistration: () => register(registered) }
 }
 
 async function startNode (folder: string, role: 'entry' | 'sidecar', settings: EdgeSettings): Promise<SoakNode> {
--- a/packages/bendfall-fakes/src/fleet/soak/BendfallFakesSoakLimits.ts
+++ b/packages/bendfall-fakes/src/fleet/soak/BendfallFakesSoakLimits.ts
@@ -9,7 +9,7 @@
 import type { SoakFleet } from './BendfallFakesSoakFleet.js'
 
 /** Returns whether no recent fault affected the entry itself, which is given as `ip:port`. */
-export type IsEntryCalm = (atMs: number, entry: string) => boolean
+export type IsEntryUndisturbed = (atMs: number, entry: string) => boolean
 
 /**
  * Finds replicas that received more requests than an advertised limit allows.
@@ -19,11 +19,11 @@
  * @param isEntryUndisturbed - returns whether arrivals from an entry count at a given time
  * @returns one line per violation
  */
-export function findOverLimit ({ models, plain }: Pick<SoakFleet, 'models' | 'plain'>, records: readonly CallRecord[], isEntryCalm: IsEntryCalm): string[] {
+export function findOverLimit ({ models, plain }: Pick<SoakFleet, 'models' | 'plain'>, records: readonly CallRecord[], isEntryUndisturbed: IsEntryUndisturbed): string[] {
   const answers = records.flatMap(({ answeredAtMs, entry, replicaId, requestId }): PassedAnswer[] => [{ requestId, entry, answeredAtMs: answeredAtMs ?? Infinity, replicaId }])
   return [...models, ...plain].flatMap(({ replica, replicaId }) => {
-    const worst = findWorstWindow({ replica, replicaId, answers, isCounted: isEntryCalm })
+    const worst = findWorstWindow({ replica, replicaId, answers, isCounted: isEntryUndisturbed })
     if (worst === undefined || worst.over <= 0) return []
-    return [`${replicaId} named ${worst.perS} a second and got ${worst.arrived} requests in the window up to ${Math.round(worst.atMs)}, ${worst.over} too many`]
+    return [`${replicaId} advertised ${worst.perS} requests/s and received ${worst.arrived} in the window up to ${Math.round(worst.atMs)}, ${worst.over} too many`]
   })
 }
