--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersCaller.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersCaller.ts
@@ -1,5 +1,5 @@
 /**
- * A caller on a kept connection, which may read slowly or leave.
+ * Client on a persistent connection that can read slowly or disconnect early.
  *
  * @module
  */
@@ -9,40 +9,40 @@
 import { createResponseReader } from './BendfallFakesAnswersResponses.js'
 import type { ReadAnswer, ResponseReader } from './BendfallFakesAnswersResponses.js'
 
-/** A call. */
+/** Request of a call and the caller's behavior. */
 export interface AnswersCall {
   readonly method: 'GET' | 'POST'
   readonly path: string
   readonly requestId: string
   readonly headers: Readonly<Record<string, string>>
   readonly body: Buffer
-  /** Whether the body goes out in chunks, as opposed to with a length. */
+  /** Whether the body is sent with chunked transfer coding instead of a length. */
   readonly isChunked: boolean
-  /** Pause after each piece that is read; 0: none. */
+  /** Pause after each chunk read, in milliseconds; 0: none. */
   readonly readPauseMs: number
-  /** Leaves after this time; absent: never. */
+  /** Time after which the caller disconnects; absent: never. */
   readonly leavesAfterMs?: number
 }
 
-/** What became of a call. */
+/** Outcome of a call. */
 export interface CallOutcome {
-  /** `left`: the caller closed the connection; `silent`: no end came in time. */
+  /** `left`: the caller closed the connection; `silent`: the response did not end in time. */
   readonly end: 'broken' | 'complete' | 'left' | 'silent'
   readonly answer: ReadAnswer
 }
 
-/** A caller. */
+/** A client with one connection. */
 export interface AnswersCaller {
   readonly call: (call: AnswersCall) => Promise<CallOutcome>
-  /** Bytes that came without a request. */
+  /** @returns the start of each piece of data received outside a response */
   readonly unasked: () => readonly string[]
   readonly close: () => void
 }
 
-/** A call without an end by then is a violation: routes allow 4 s. */
+/** A call that has not ended by then is a violation, since routes allow 4 s. */
 const LONGEST_CALL_MS = 7_000
 
-/** Pauses of a slow reader: with 10 ms each, 8 MB in pieces of 64 KB take 1.3 s. */
+/** Maximum number of pauses of a slow reader: with 10 ms each, 8 MB in chunks of 64 KB take 1.3 s. */
 const MOST_PAUSES = 200
 
 interface Pending {
@@ -53,10 +53,10 @@
 }
 
 /**
- * Makes a caller.
+ * Creates a client.
  *
  * @param address - host and port of the entry
- * @returns the caller; it connects with its first call
+ * @returns the client, which connects on its first call
  */
 export function createAnswersCaller (address: { readonly host: string, readonly port: number }): AnswersCaller {
   const unasked: string[] = []
@@ -64,13 +64,13 @@
   let pending: Pending | undefined
 
   function open (): Socket {
-    // The other side's end is seen before this side ends, so that a reset can be told from it.
+    // Half-open connections let the end of the peer be observed before this side closes, so that it can be distinguished from a reset.
     const opened = connect({ ...address, allowHalfOpen: true })
     opened.setNoDelay(true)
     opened.on('data', (chunk) => { if (opened === socket) read(opened, chunk) })
     opened.on('end', () => {
-      // A connection that was reset has no remote address any more: where the reset
-      // is found together with the last bytes, no error is told.
+      // A reset connection no longer has a remote address. Node emits no error if it detects
+      // the reset together with the last bytes.
       ended(opened, opened.remoteAddress !== undefined)
       opened.end()
     })
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersEncode.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersEncode.ts
@@ -1,36 +1,36 @@
 /**
- * Bytes of scripted answers.
+ * Encodes scripted responses to bytes.
  *
  * @module
  */
 import type { AnswerScript, AskedFor } from './BendfallFakesAnswersScript.js'
 
-/** What an answer tells of its request. */
+/** Request-dependent content of a response. */
 export interface AnswerOf {
   readonly asked: AskedFor
-  /** As the request bore it. */
+  /** Id that the request carried. */
   readonly requestId?: string
   readonly replicaId: string
-  /** Number of the answer at its replica. */
+  /** Sequence number of the response at its replica. */
   readonly serial: number
-  /** Handle or hold that the answer gives. */
+  /** Handle or hold that the response issues. */
   readonly given?: string
-  /** Events of a stream; absent for a plain answer. */
+  /** Range of the events of a stream; absent for a plain response. */
   readonly events?: { readonly after: number, readonly last: number }
 }
 
-/** An answer as it goes out. */
+/** An encoded response. */
 export interface EncodedAnswer {
   readonly head: Buffer
   /** Body with its framing. */
   readonly framed: Buffer
-  /** Body without it. */
+  /** Body without framing. */
   readonly body: Buffer
 }
 
 const REASONS: Readonly<Record<AnswerScript['status'], string>> = { 200: 'OK', 421: 'Misdirected Request', 429: 'Too Many Requests', 500: 'Internal Server Error', 503: 'Service Unavailable' }
 
-/** Statuses by which a replica says that it has not run the request. */
+/** Statuses with which a replica reports that it has not run the request. */
 const REFUSALS: ReadonlySet<number> = new Set([421, 429, 503])
 
 const NOTES: Readonly<Record<AnswerScript['note'], Buffer>> = {
@@ -42,25 +42,25 @@
 
 const CHUNKS = 3
 
-/** Values of the header that notes are in, as bytes. */
+/** Values of the note header, with one Latin-1 character per byte. */
 export const ANSWER_NOTES: ReadonlySet<string> = new Set(Object.values(NOTES).map((line) => line.toString('latin1').slice('X-Note: '.length).trim()))
 
 /**
- * Tells whether a status says that the request was not run.
+ * Returns whether a status reports that the request was not run.
  *
- * @param status - of the answer
- * @returns whether it does
+ * @param status - HTTP status of the response
+ * @returns true for statuses that refuse a request
  */
 export function isRefusal (status: number): boolean {
   return REFUSALS.has(status)
 }
 
 /**
- * Encodes an answer.
+ * Encodes a response.
  *
- * @param script - how it is framed
- * @param of - what it answers
- * @returns the bytes
+ * @param script - status, headers and framing
+ * @param context - request-dependent content
+ * @returns head and body, with and without framing
  */
 export function encodeAnswer (script: AnswerScript, of: AnswerOf): EncodedAnswer {
   const body = bodyOf(script, of)
@@ -107,10 +107,10 @@
 }
 
 /**
- * Frames a body by chunks.
+ * Encodes a body with the chunked transfer coding.
  *
- * @param body - any
- * @returns chunks and the last one
+ * @param body - body to encode; may be empty
+ * @returns the chunks including the final empty one
  */
 export function inChunks (body: Buffer): Buffer {
   const parts: Buffer[] = []
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersFleet.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersFleet.ts
@@ -1,5 +1,5 @@
 /**
- * Scripted replicas of one seed, in this thread or in one of their own.
+ * Scripted replicas of one seed, in this thread or in a worker thread.
  *
  * @module
  */
@@ -15,22 +15,22 @@
 import type { AnswerScript } from './BendfallFakesAnswersScript.js'
 import type { AnswersTruth } from './BendfallFakesAnswersTruth.js'
 
-/** Place of a replica. */
+/** Id and address of a replica. */
 export interface ReplicaPlace {
   readonly replicaId: string
   readonly host: string
 }
 
-/** What is played. */
+/** Seed, profile and replicas of a run. */
 export interface FleetPlan {
   readonly seed: number
   readonly profile: AnswerProfile
   readonly places: readonly ReplicaPlace[]
 }
 
-/** Replicas that listen. */
+/** Listening replicas. */
 export interface AnswersFleet {
-  /** `ip:port` of each, in the order of their places. */
+  /** `ip:port` of each replica, in the order of the plan. */
   readonly addresses: readonly string[]
   readonly truth: () => Promise<AnswersTruth>
   readonly close: () => Promise<void>
@@ -43,7 +43,7 @@
 /**
  * Starts the replicas in this thread.
  *
- * @param plan - what is played
+ * @param plan - seed, profile and replicas
  * @returns the replicas once they listen
  */
 export async function startAnswersFleet (plan: FleetPlan): Promise<AnswersFleet> {
@@ -62,10 +62,10 @@
 }
 
 /**
- * Starts the replicas in a thread of their own, so that they go on writing
- * while the entry is busy.
+ * Starts the replicas in a worker thread, so that they continue to write
+ * while the entry's thread is blocked.
  *
- * @param plan - what is played
+ * @param plan - seed, profile and replicas
  * @returns the replicas once they listen
  */
 export async function startAnswersFleetApart (plan: FleetPlan): Promise<AnswersFleet> {
@@ -82,7 +82,7 @@
       return next<AnswersTruth>()
     },
     close: async () => {
-      // A thread that is terminated with connections half closed may never end.
+      // Terminating a worker that has half-closed connections may never complete.
       const exited = once(worker, 'exit')
       worker.postMessage('close')
       await Promise.race([exited, sleep(LONGEST_CLOSE_MS)])
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersFuzz.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersFuzz.ts
@@ -1,6 +1,6 @@
 /**
- * Fuzzer of the replicas' side: callers on kept connections, an entry that may
- * be busy, replicas that frame, break off and double their answers by a seed.
+ * Fuzzer for the responses of replicas: callers on persistent connections, an entry whose event loop may
+ * be blocked, and replicas that vary the framing of responses, cut them off and duplicate them by a seed.
  *
  * @module
  */
@@ -18,24 +18,24 @@
 import type { AnswersKind } from './BendfallFakesAnswersScene.js'
 import type { AnswersTruth } from './BendfallFakesAnswersTruth.js'
 
-/** How a seed is played. */
+/** Parameters of the run of a seed. */
 export interface FuzzPlan {
   readonly seed: number
   readonly profile: AnswerProfile
-  /** Milliseconds of each ten for which the entry's thread is kept busy. */
+  /** Milliseconds out of each ten for which the entry's thread is blocked. */
   readonly busyMs: number
-  /** Whether the replicas have a thread of their own. */
+  /** Whether the replicas run in a worker thread. */
   readonly isApart: boolean
 }
 
-/** What a seed showed. */
+/** Result of the run of a seed. */
 export interface FuzzResult {
   readonly plan: FuzzPlan
   readonly calls: number
-  /** Calls by status and end. */
+  /** Number of calls by status and end. */
   readonly ends: Readonly<Record<string, number>>
   readonly violations: readonly Violation[]
-  /** Log lines of the entry on requests with violations. */
+  /** Log lines of the entry for requests with violations, and the arrivals on their connections. */
   readonly evidence: readonly string[]
 }
 
@@ -45,11 +45,11 @@
 const CALLS_EACH = 30
 const LONGEST_MS = 4_000
 
-/** The latest second answers are on their way this long. */
+/** Time until the latest duplicate responses have arrived. */
 const SETTLE_MS = 350
 
 const KINDS: readonly AnswersKind[] = ['booking', 'booking', 'brief', 'rate', 'rate', 'summary']
-/** Where the calls that the entry makes for itself fail, requests are those that need them. */
+/** Calls for which the entry makes control calls; the only ones in the profile whose control calls fail. */
 const OWN_KINDS: readonly AnswersKind[] = ['brief', 'summary']
 const PROMPT_KINDS: ReadonlySet<AnswersKind> = new Set(['brief', 'summary'])
 const REQUEST_BYTES = [0, 10, 3_000, 200_000, 600_000] as const
@@ -61,11 +61,11 @@
 const CALLER_SEED = 7_919
 
 /**
- * Tells how a seed is played: each in a row has another profile, and the load
- * changes from row to row.
+ * Derives the parameters of a seed: consecutive seeds cycle through the profiles, and the load
+ * changes after each cycle.
  *
- * @param seed - any whole number
- * @returns the plan
+ * @param seed - non-negative integer
+ * @returns the parameters
  */
 export function planOf (seed: number): FuzzPlan {
   const profiles = ANSWER_PROFILES.length
@@ -79,10 +79,10 @@
 }
 
 /**
- * Plays a seed.
+ * Runs a seed.
  *
- * @param plan - how
- * @returns what it showed
+ * @param plan - parameters of the run
+ * @returns counts, violations and their evidence
  */
 export async function fuzzAnswers (plan: FuzzPlan): Promise<FuzzResult> {
   const crashes: Violation[] = []
@@ -135,7 +135,7 @@
   }
 }
 
-// What a loaded process does between two looks at its sockets.
+// Blocks the event loop periodically, as the load of a busy process does between two polls of its sockets.
 function keepBusy (busyMs: number): () => void {
   if (busyMs === 0) return () => {}
   const timer = setInterval(() => {
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersFuzzMain.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersFuzzMain.ts
@@ -1,5 +1,5 @@
 /**
- * Command line of the fuzzer: first seed and number of seeds.
+ * Command line of the response fuzzer: `npm run fuzz:answers -- FIRST_SEED COUNT`; `--verbose` prints the evidence too.
  *
  * @module
  */
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersJudge.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersJudge.ts
@@ -1,5 +1,5 @@
 /**
- * Judges what callers got by what replicas know.
+ * Checks the entry's guarantees: compares what callers received with what replicas received and sent.
  *
  * @module
  */
@@ -12,38 +12,38 @@
 import type { AnswersTruth, Arrival } from './BendfallFakesAnswersTruth.js'
 import { digestOf } from './BendfallFakesAnswersTruth.js'
 
-/** A promise that was broken. */
+/** Guarantee that was violated. */
 export type ViolationClass =
   | 'changed_header' | 'crash' | 'cut_looks_complete' | 'foreign_answer' | 'foreign_handle' | 'foreign_hold' | 'handle_reused' | 'other_request_sent' | 'other_stamp' | 'other_status'
   | 'ran_twice' | 'refused_and_ran' | 'reset_looks_complete' | 'silent' | 'stream_pieces' | 'stream_tail_dropped' | 'unasked_answer' | 'unsigned'
 
-/** A broken promise and its evidence. */
+/** A violated guarantee and its evidence. */
 export interface Violation {
   readonly type: ViolationClass
   readonly requestId: string
   readonly detail: string
 }
 
-/** A call and what became of it. */
+/** A call and its outcome. */
 export interface CallRecord {
   readonly kind: AnswersKind
   readonly call: AnswersCall
   readonly outcome: CallOutcome
 }
 
-/** Kinds that run once at most. */
+/** Kinds of calls that run at most once. */
 const ONCE: ReadonlySet<AnswersKind> = new Set(['booking', 'summary'])
 const STREAMS: ReadonlySet<AnswersKind> = new Set(['brief', 'summary'])
 
-/** Statuses that promise that the request has not run. */
+/** Statuses that guarantee that the request has not run. */
 const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503])
 
 /**
- * Finds broken promises.
+ * Finds violated guarantees.
  *
- * @param records - calls
- * @param truth - what replicas know
- * @returns what was broken
+ * @param records - calls with their outcomes
+ * @param truth - observations of the replicas
+ * @returns the violations
  */
 export function findViolations (records: readonly CallRecord[], truth: AnswersTruth): readonly Violation[] {
   const byRequest = new Map<string, Arrival[]>()
@@ -95,8 +95,8 @@
   return found
 }
 
-// A stream that went on elsewhere is the same as one run from its first event: each run has the same form.
-// An answer that its replica ended in order without a length may be any part of what it meant to send.
+// A stream resumed at another replica equals a stream of one replica, since each run uses the same format.
+// A close-delimited response that its replica ended by an orderly close may be any part of the intended body.
 function isSame (answer: ReadAnswer, sent: Arrival['answer']): boolean {
   const got = digestOf(answer.body)
   return got === sent.body || (answer.framing === 'connection' && got === sent.sentBody)
@@ -117,7 +117,7 @@
   return isShort ? [['stream_pieces', `complete after pieces ${seen}`]] : []
 }
 
-// Handles and holds belong to the request for which they were made.
+// A handle or hold may only be used by the request for which it was issued.
 function judgeMemory ({ arrivals }: AnswersTruth): Violation[] {
   const prefills = new Map(arrivals.filter(({ asked }) => asked === 'prefill').map((arrival) => [arrival.given ?? '', arrival]))
   const holds = new Set(arrivals.filter(({ asked }) => asked === 'hold').map(({ given }) => given))
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersPlay.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersPlay.ts
@@ -1,5 +1,5 @@
 /**
- * Writes scripted answers to a connection.
+ * Writes scripted responses to a connection, with their cuts and duplicates.
  *
  * @module
  */
@@ -9,22 +9,22 @@
 import type { AnswerScript, ScriptCut, ScriptDouble } from './BendfallFakesAnswersScript.js'
 import { hasOpenEnd } from './BendfallFakesAnswersScript.js'
 
-/** Answers longer than this are not written byte by byte. */
+/** Longer responses are not written byte by byte. */
 const LONGEST_BYTEWISE = 400
 
-/** `HTTP/1.1 200 ` */
+/** Length of `HTTP/1.1 200 `. */
 const STATUS_BYTES = 13
 
 const HINTS = Buffer.from('HTTP/1.1 103 Early Hints\r\nLink: </style.css>\r\n\r\n')
 const GARBAGE = Buffer.from('what is this\r\n\r\n')
 
 /**
- * Writes an answer up to its end or its break.
+ * Writes a response up to its end or its cut.
  *
- * @param socket - the connection
- * @param script - how the answer goes out
- * @param answer - its bytes
- * @param before - bytes of a former answer that go out in the same segment
+ * @param socket - connection to write to
+ * @param script - segments, pauses and faults of the response
+ * @param answer - encoded response
+ * @param before - duplicate of a previous response to send in the same segment
  */
 export async function playAnswer (socket: Socket, script: AnswerScript, answer: EncodedAnswer, before: Buffer): Promise<void> {
   const { cut } = script
@@ -38,20 +38,20 @@
 }
 
 /**
- * Tells whether the connection ends with the answer.
+ * Returns whether the connection ends with the response.
  *
- * @param script - of the answer
- * @returns whether it does
+ * @param script - script of the response
+ * @returns true if no further response can follow
  */
 export function endsConnection (script: AnswerScript): boolean {
   return script.cut !== undefined || hasOpenEnd(script.framing) || script.connection === 'close'
 }
 
 /**
- * Bytes of a second answer.
+ * Encodes a duplicate response.
  *
- * @param double - which part of it
- * @param answer - the first answer
+ * @param double - part of the response to repeat
+ * @param answer - response to duplicate
  * @returns the bytes
  */
 export function doubleBytes ({ part, share }: ScriptDouble, answer: EncodedAnswer): Buffer {
@@ -62,11 +62,11 @@
 }
 
 /**
- * Place at which an answer breaks off.
+ * Returns the position at which a response is cut off.
  *
- * @param cut - the break
- * @param answer - the answer
- * @returns bytes of head and framed body before it
+ * @param cut - part and relative position of the cut
+ * @param answer - encoded response
+ * @returns number of bytes of head and framed body before the cut
  */
 export function cutPosition ({ at, share }: ScriptCut, { framed, head }: EncodedAnswer): number {
   const places: Readonly<Record<ScriptCut['at'], number>> = {
@@ -78,7 +78,7 @@
   return places[at]
 }
 
-// Behind an answer that ends with its connection there is nothing: more bytes would be part of it.
+// A close-delimited response can't be followed by a duplicate, whose bytes would be part of the body.
 function hasDoubleBehind (script: AnswerScript): script is AnswerScript & { readonly double: ScriptDouble } {
   return script.double?.when === 'same_segment' && script.cut === undefined && !hasOpenEnd(script.framing)
 }
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersProfiles.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersProfiles.ts
@@ -1,5 +1,5 @@
 /**
- * Draws scripts. Each seed has a profile, so that one kind of fault doesn't
+ * Draws random scripts. Each seed has a profile that favors some faults, so that one kind of fault doesn't
  * hide the others.
  *
  * @module
@@ -8,7 +8,7 @@
 import type { AnswerScript, AskedFor, ScriptCut, ScriptDouble } from './BendfallFakesAnswersScript.js'
 import { hasOpenEnd, SOUND_SCRIPT } from './BendfallFakesAnswersScript.js'
 
-/** Kinds of faults that a seed plays most. */
+/** Kinds of faults that a seed can favor. */
 export const ANSWER_PROFILES = ['resets', 'doubles', 'framing', 'streams', 'slow', 'refusals', 'headers', 'own_calls', 'mixed'] as const
 
 /** One of them. */
@@ -21,15 +21,15 @@
   readonly failure: number
   readonly idleEnd: number
   readonly large: number
-  /** Share of the large ones that no buffers of a kernel hold. */
+  /** Share of the large bodies that exceed kernel socket buffers. */
   readonly huge: number
   readonly note: number
   readonly prelude: number
   readonly early: number
   readonly odd: number
-  /** Transfer codings without chunks. */
+  /** Transfer codings other than chunked. */
   readonly coding: number
-  /** Doubles and refusals of the calls that the entry makes for itself. */
+  /** Duplicate responses to and refusals of calls other than runs, i.e. prefills and control calls. */
   readonly ownDouble: number
   readonly ownRefusal: number
 }
@@ -59,15 +59,15 @@
 const LATEST_IDLE_END_MS = 30
 const OWN_BYTES = 0
 
-/** Form of a stream's events, which another run of the request repeats. */
+/** Format of the events of a stream, which is the same in each run of the request. */
 export type StreamForm = Pick<AnswerScript, 'bodyBytes' | 'hasComments' | 'isLastOpen' | 'lineEnd'>
 
 /**
- * Draws the form of a stream.
+ * Draws the format of a stream.
  *
- * @param random - draws of the request
- * @param profile - of the seed
- * @returns the form
+ * @param random - random source of the request
+ * @param profile - profile of the seed
+ * @returns the format
  */
 export function drawStreamForm (random: Random, profile: AnswerProfile): StreamForm {
   const weights = WEIGHTS[profile]
@@ -81,11 +81,11 @@
 }
 
 /**
- * Draws the script of a request.
+ * Draws the script of a response.
  *
- * @param random - draws of the replica
- * @param profile - of the seed
- * @param asked - what the request asks for
+ * @param random - random source of the replica
+ * @param profile - profile of the seed
+ * @param asked - operation that the request asks for
  * @returns the script
  */
 export function drawScript (random: Random, profile: AnswerProfile, asked: AskedFor): AnswerScript {
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersRandom.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersRandom.ts
@@ -1,13 +1,13 @@
 /**
- * Seeded draws of the answer fuzzer.
+ * Seeded random numbers of the response fuzzer.
  *
  * @module
  */
 import { drawIndex } from 'bendfall-core'
 
-/** Draws that a seed repeats. */
+/** Deterministic random source. */
 export interface Random {
-  /** @returns a whole number from 0 to below `below` */
+  /** @returns an integer from 0 to `below` - 1 */
   readonly whole: (below: number) => number
   /** @returns one of the items */
   readonly pick: <T>(items: readonly T[]) => T
@@ -15,14 +15,14 @@
   readonly chance: (probability: number) => boolean
 }
 
-/** Steps of a probability. */
+/** Resolution of probabilities. */
 const CHANCES = 10_000
 
 /**
- * Makes the draws of a seed.
+ * Creates a random source.
  *
- * @param seed - of the draws
- * @returns the draws
+ * @param seed - seed that determines all values
+ * @returns the random source
  */
 export function createRandom (seed: number): Random {
   let state = seed
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersReplica.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersReplica.ts
@@ -1,6 +1,6 @@
 /**
- * Raw stand-in of a replica: answers each request by a script and knows what
- * it sent.
+ * Stand-in for a replica on raw TCP: responds to each request according to a script and records what
+ * it received and sent.
  *
  * @module
  */
@@ -17,17 +17,17 @@
 import { digestOf } from './BendfallFakesAnswersTruth.js'
 import type { AnswersTruth, Arrival, SentAnswer } from './BendfallFakesAnswersTruth.js'
 
-/** A request of which a script is wanted. */
+/** A request for which a script is chosen. */
 export interface ScriptedRequest {
   readonly replicaId: string
   readonly asked: AskedFor
   readonly requestId: string
-  /** Requests that reached the replica before. */
+  /** Number of requests that reached the replica before. */
   readonly serial: number
   readonly isStream: boolean
 }
 
-/** What a stand-in is. */
+/** Address and behavior of a replica. */
 export interface AnswersReplicaOptions {
   readonly host: string
   readonly replicaId: string
@@ -42,16 +42,16 @@
   readonly close: () => Promise<void>
 }
 
-/** Events of a stream: few enough that a run of the fuzzer stays short. */
+/** Number of events in a stream: few, so that a run of the fuzzer stays short. */
 export const STREAM_EVENTS = 5
 
 const OWN_CALLS: ReadonlyArray<readonly [string, AskedFor]> = [['/api/hold-take', 'hold'], ['/api/hold-drop/', 'drop'], ['/api/kv-handle/', 'free']]
 
 /**
- * Starts a stand-in.
+ * Starts a scripted replica on a free port.
  *
- * @param options - address and scripts
- * @returns the stand-in once it listens
+ * @param options - address, id and scripts
+ * @returns the replica once it listens
  */
 export async function startAnswersReplica (options: AnswersReplicaOptions): Promise<AnswersReplica> {
   const { replicaId, scriptOf } = options
@@ -100,7 +100,7 @@
     connections += 1
     const connection = connections
     let before: Buffer = Buffer.alloc(0)
-    // One answer at a time: a second one comes before or behind others, never within them.
+    // Writes are serialized: a duplicate is written before or after other responses, never within them.
     let turn: Promise<void> = Promise.resolve()
     let current: ReturnType<typeof note> | undefined
 
@@ -172,7 +172,7 @@
 function answerOf (script: AnswerScript, encoded: EncodedAnswer): SentAnswer {
   const { cut, framing, status } = script
   const answer: SentAnswer = { status, framing, isReset: cut?.how === 'reset', body: digestOf(encoded.body) }
-  // Only an answer without a length may end anywhere in order.
+  // Only a close-delimited response is still valid when an orderly close ends it early.
   if (cut?.how !== 'fin' || !hasOpenEnd(framing)) return answer
   const bodyBytes = Math.max(0, cutPosition(cut, encoded) - encoded.head.length)
   return { ...answer, sentBody: digestOf(encoded.body.subarray(0, bodyBytes)) }
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersRequests.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersRequests.ts
@@ -1,28 +1,28 @@
 /**
- * Reads requests from the bytes of a connection.
+ * Incremental parser for the requests on a connection.
  *
  * @module
  */
 
-/** A request whose head was read. */
+/** A parsed request head. */
 export interface RequestHead {
   readonly method: string
   readonly path: string
-  /** By name in lower case. */
+  /** Values by lower-case name. */
   readonly headers: ReadonlyMap<string, string>
   readonly bodyBytes: number
 }
 
-/** Reads requests. */
+/** Parser of one connection. */
 export interface RequestReader {
   readonly push: (chunk: Buffer) => void
 }
 
-/** Takes what is read. */
+/** Callbacks of the parser. */
 export interface RequestListener {
   readonly onHead: (head: RequestHead) => void
   readonly onRequest: (head: RequestHead, body: Buffer) => void
-  /** Bytes that are no request. */
+  /** Called with a head that is not a valid request. */
   readonly onGarbage: (bytes: Buffer) => void
 }
 
@@ -30,10 +30,10 @@
 const REQUEST_LINE = /^(GET|POST|DELETE|PUT) (\S+) HTTP\/1\.1$/
 
 /**
- * Makes a reader; bodies have a length.
+ * Creates a parser. Bodies must have a `Content-Length`.
  *
- * @param listener - takes what is read
- * @returns the reader
+ * @param listener - called for each parsed head and request
+ * @returns the parser
  */
 export function createRequestReader (listener: RequestListener): RequestReader {
   let chunks: Buffer[] = []
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersResponses.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersResponses.ts
@@ -1,28 +1,28 @@
 /**
- * Reads answers from the bytes of a caller's connection and tells whether they
- * are complete.
+ * Incremental parser for a response on a caller's connection, which also determines whether the response
+ * is complete.
  *
  * @module
  */
 
-/** An answer as its caller sees it. */
+/** A response as its caller receives it. */
 export interface ReadAnswer {
   readonly status: number
-  /** Values by name in lower case, each as often as it came. */
+  /** Values by lower-case name; a repeated header has several. */
   readonly headers: ReadonlyMap<string, readonly string[]>
   readonly framing: 'chunked' | 'connection' | 'length'
   readonly body: Buffer
   readonly isComplete: boolean
 }
 
-/** Reads one answer. */
+/** Parser of one response. */
 export interface ResponseReader {
-  /** @returns bytes behind the end of the answer; undefined while it goes on */
+  /** @returns bytes after the end of the response; undefined while the response is incomplete */
   readonly push: (chunk: Buffer) => Buffer | undefined
   /**
-   * The connection ended.
+   * Handles the end of the connection.
    *
-   * @param isOrderly - whether it was closed, as opposed to reset
+   * @param isOrderly - whether the connection was closed in an orderly way, as opposed to reset
    */
   readonly finish: (isOrderly: boolean) => ReadAnswer
   readonly answer: () => ReadAnswer
@@ -40,9 +40,9 @@
 const FIRST_FINAL_STATUS = 200
 
 /**
- * Makes a reader.
+ * Creates a parser.
  *
- * @returns the reader
+ * @returns the parser of one response
  */
 export function createResponseReader (): ResponseReader {
   let rest: Buffer = Buffer.alloc(0)
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersScene.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersScene.ts
@@ -1,5 +1,5 @@
 /**
- * An entry before scripted replicas.
+ * Starts an entry, with a store and registrations of scripted replicas, within this process.
  *
  * @module
  */
@@ -15,17 +15,17 @@
 /** Host of the routes. */
 export const ANSWERS_HOST = 'answers.example'
 
-/** Kinds of calls; each names the prefix of its path. */
+/** Kinds of calls; each is also the prefix of its path. */
 export type AnswersKind = 'booking' | 'brief' | 'rate' | 'summary'
 
-/** Place and pool of a replica of the scene. */
+/** Id, address and pool of a replica; plain replicas have no stage. */
 export interface ScenePlace extends ReplicaPlace {
   readonly stage?: 'decode' | 'prefill'
 }
 
-/** A scene. */
+/** A running entry. */
 export interface AnswersScene {
-  /** Where callers connect. */
+  /** Address for callers. */
   readonly callers: { readonly host: string, readonly port: number }
   /** Log lines of the entry. */
   readonly lines: readonly string[]
@@ -42,17 +42,17 @@
 const CONFIG = createFleetConfig({ host: ANSWERS_HOST, timeoutMs: 4_000, handleTtlS: 2, maxBodyBytes: 2_000_000 })
 
 /**
- * Loopback addresses of this process alone, so that runs may go side by side.
+ * Derives loopback addresses from the process id, so that concurrent runs don't collide.
  *
- * @param last - last number of the address
- * @returns the address
+ * @param last - last octet of the address
+ * @returns an IPv4 address
  */
 export function answersIp (last: number): string {
   const subnet = process.pid
   return `127.${1 + subnet % SUBNETS}.${1 + Math.floor(subnet / SUBNETS) % SUBNETS}.${last}`
 }
 
-/** Replicas of a scene: plain ones, and both pools of a model. */
+/** Replicas: plain ones, and both pools of a model. */
 export const SCENE_PLACES: readonly ScenePlace[] = [
   { replicaId: 'i-x', host: answersIp(21) },
   { replicaId: 'i-y', host: answersIp(22) },
@@ -65,12 +65,12 @@
 ]
 
 /**
- * Starts the scene. Nobody listens where the ledgers would, so that memory is
+ * Starts an entry. No process listens on the addresses of the ledgers, so that memory is
  * held at the replicas themselves.
  *
- * @param places - replicas
- * @param fleet - the same, as they listen
- * @returns the scene once the entry is ready
+ * @param places - replicas to register
+ * @param fleet - addresses of the same replicas, in the same order
+ * @returns the entry once it reports ready or the polls for that are used up
  */
 export async function startAnswersScene (places: readonly ScenePlace[], fleet: Pick<AnswersFleet, 'addresses'>): Promise<AnswersScene> {
   const lines: string[] = []
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersScript.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersScript.ts
@@ -1,74 +1,74 @@
 /**
- * What a scripted replica does with one request, down to the bytes.
+ * Scripts of the scripted replicas: how one request is answered, down to framing, segments and connection faults.
  *
  * @module
  */
 
-/** What tells the end of an answer's body; `identity` is a transfer coding without chunks, which ends with the connection as well. */
+/** How a response body is delimited; `identity` is a transfer coding without chunks and close-delimited like `connection`. */
 export type ScriptFraming = 'chunked' | 'connection' | 'identity' | 'length'
 
-/** What a request asks of a replica. */
+/** Operation that a request asks a replica for. */
 export type AskedFor = 'drop' | 'free' | 'hold' | 'prefill' | 'run'
 
-/** Where an answer breaks off. */
+/** Where and how a response is cut off. */
 export interface ScriptCut {
-  /** Closed in order, or reset. */
+  /** Orderly close or reset. */
   readonly how: 'fin' | 'reset'
-  /** Part of the answer in which it breaks off; `end` is behind its last byte. */
+  /** Part of the response that contains the cut; `end` is after its last byte. */
   readonly at: 'body' | 'end' | 'head' | 'last_byte'
-  /** Place within that part, 0 to 1. */
+  /** Position within that part, 0 to 1. */
   readonly share: number
-  /** Milliseconds from the last bytes to the break; 0: in the same turn. */
+  /** Milliseconds from the last bytes to the cut; 0: in the same turn of the event loop. */
   readonly afterMs: number
 }
 
-/** A second answer to the same request. */
+/** A duplicate response to the same request. */
 export interface ScriptDouble {
-  /** `line_cut`: nothing behind the status. */
+  /** How much of the response is repeated; `line_cut` ends after the status code. */
   readonly part: 'body_cut' | 'head_cut' | 'line_cut' | 'whole'
-  /** In the segment of the first, some time after it, or right before the next answer on the connection. */
+  /** In the segment of the first response, some time after it, or directly before the next response on the connection. */
   readonly when: 'late' | 'same_segment' | 'with_next'
   readonly afterMs: number
-  /** Place within the part at which it breaks off, 0 to 1. */
+  /** Position of the cut within the part, 0 to 1. */
   readonly share: number
 }
 
-/** End of a connection that was kept behind an answer. */
+/** End of a connection that was kept alive after a response. */
 export interface ScriptIdleEnd {
   readonly how: 'fin' | 'reset'
   readonly afterMs: number
 }
 
-/** How one request is answered. */
+/** Response to one request, with its faults. */
 export interface AnswerScript {
   readonly status: 200 | 421 | 429 | 500 | 503
   readonly framing: ScriptFraming
   readonly connection: 'close' | 'keep-alive' | 'none'
-  /** Sent before the answer. */
+  /** Bytes sent before the response. */
   readonly prelude: 'garbage' | 'hints' | 'none'
-  /** Characters of a header's value. */
+  /** Character set of an additional header value. */
   readonly note: 'ascii' | 'latin1' | 'none' | 'utf8'
-  /** Whether the id stands behind the other lines of the head. */
+  /** Whether the request id follows the other header lines. */
   readonly isIdLast: boolean
   readonly write: 'bytes' | 'pieces' | 'whole'
   readonly pieces: number
   readonly pieceDelayMs: number
-  /** Size of a plain body, or of each event's data. */
+  /** Size of a plain body, or the padding of the data of each event. */
   readonly bodyBytes: number
   readonly lineEnd: '\n' | '\r' | '\r\n'
   readonly hasComments: boolean
-  /** Whether the last event lacks its empty line. */
+  /** Whether the last event lacks its terminating empty line. */
   readonly isLastOpen: boolean
   readonly cut?: ScriptCut
   readonly double?: ScriptDouble
-  /** Meets the next request where that comes sooner. */
+  /** End of the connection while it is idle; it may hit the next request if that arrives sooner. */
   readonly idleEnd?: ScriptIdleEnd
-  /** Whether the answer begins before the request's body was read. */
+  /** Whether the response begins before the request body has been read. */
   readonly isEarly: boolean
   readonly workMs: number
 }
 
-/** An answer without any fault. */
+/** Script of a response without faults. */
 export const SOUND_SCRIPT: AnswerScript = {
   status: 200,
   framing: 'length',
@@ -88,20 +88,20 @@
 }
 
 /**
- * Tells whether the body of an answer ends with its connection.
+ * Returns whether a response body is delimited by the end of the connection.
  *
- * @param framing - of the answer
- * @returns whether it does
+ * @param framing - framing of the response
+ * @returns true for framings without a length or chunks
  */
 export function hasOpenEnd (framing: ScriptFraming): boolean {
   return framing === 'connection' || framing === 'identity'
 }
 
 /**
- * Tells in a line how a script differs from a sound one.
+ * Describes in one line how a script differs from `DEFAULT_SCRIPT`.
  *
- * @param script - the script
- * @returns the differences
+ * @param script - script to describe
+ * @returns the differing fields as JSON
  */
 export function describeScript (script: AnswerScript): string {
   const sound = SOUND_SCRIPT as unknown as Readonly<Record<string, unknown>>
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersStage.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersStage.ts
@@ -1,5 +1,5 @@
 /**
- * An entry before replicas that answer by scripts of a test.
+ * Test harness: an entry with replicas that respond according to the scripts of a test.
  *
  * @module
  */
@@ -15,34 +15,34 @@
 import { SOUND_SCRIPT } from './BendfallFakesAnswersScript.js'
 import type { Arrival } from './BendfallFakesAnswersTruth.js'
 
-/** Changes of a sound answer. */
+/** Differences from a response without faults. */
 export type ScriptChange = Partial<AnswerScript>
 
-/** What plays. */
+/** Replicas and scripts of the harness. */
 export interface StageOptions {
-  /** Replicas of the scene that play; all when absent. */
+  /** Ids of the replicas to start, out of `REPLICA_PLACES`; all when absent. */
   readonly replicaIds?: readonly string[]
-  /** @returns how a request's answer differs from a sound one */
+  /** @returns how the response to a request differs from one without faults */
   readonly scriptOf: (request: ScriptedRequest) => ScriptChange
 }
 
-/** A stage. */
+/** A running harness. */
 export interface AnswersStage {
-  /** Calls on a connection of its own. */
+  /** Makes a call on a new connection. */
   readonly call: (kind: AnswersKind, requestId: string, change?: Partial<AnswersCall>) => Promise<CallOutcome>
-  /** Requests that reached replicas. */
+  /** @returns all requests that reached replicas */
   readonly arrivals: () => readonly Arrival[]
-  /** Names of broken promises. */
+  /** @returns descriptions of the guarantees violated so far */
   readonly broken: () => readonly string[]
 }
 
 const PROMPT_KINDS: ReadonlySet<AnswersKind> = new Set(['brief', 'summary'])
 
 /**
- * Plays on a stage that is closed whatever happens.
+ * Starts a harness, runs a test with it and closes it, also when the test fails.
  *
  * @param options - replicas and their scripts
- * @param play - calls and checks
+ * @param run - test body with calls and checks
  */
 export async function onAnswersStage (options: StageOptions, play: (stage: AnswersStage) => Promise<void>): Promise<void> {
   const { replicaIds, scriptOf } = options
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersTruth.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersTruth.ts
@@ -1,20 +1,20 @@
 /**
- * What scripted replicas know of the requests that reached them.
+ * Ground truth of the fuzzer: the requests that reached scripted replicas and the responses that these sent.
  *
  * @module
  */
 import { createHash } from 'node:crypto'
 import type { AskedFor, ScriptFraming } from './BendfallFakesAnswersScript.js'
 
-/** An answer as it was sent. */
+/** A response as it was sent. */
 export interface SentAnswer {
   readonly status: number
   readonly framing: ScriptFraming
-  /** Whether the connection was reset behind the last bytes. */
+  /** Whether the connection was reset after the last bytes. */
   readonly isReset: boolean
-  /** Digest of the whole body. */
+  /** Digest of the complete body. */
   readonly body: string
-  /** Digest of the part that was sent before the connection was closed in order; absent where that didn't happen. */
+  /** Digest of the part that was sent before an orderly close within a close-delimited response; absent otherwise. */
   readonly sentBody?: string
 }
 
@@ -27,34 +27,35 @@
   readonly requestId: string
   readonly method: string
   readonly path: string
-  /** Memory that the request names. */
+  /** Source of the prompt's memory that the request refers to. */
   readonly source?: string
+  /** Hold of memory that the request refers to. */
   readonly hold?: string
-  /** Handle or hold that its answer gives. */
+  /** Handle or hold issued in the response. */
   readonly given?: string
-  /** Whether the replica worked on it, as opposed to refused it. */
+  /** Whether the replica ran the request instead of refusing it. */
   readonly hasRun: boolean
   readonly atMs: number
   readonly script: string
   readonly answer: SentAnswer
-  /** Digest of the request's body; absent until it was read whole. */
+  /** Digest of the request body; absent until the body is complete. */
   sentRequest?: string
 }
 
-/** Truth of all replicas. */
+/** Observations of all replicas. */
 export interface AnswersTruth {
   readonly arrivals: readonly Arrival[]
-  /** Bytes on connections that are no request. */
+  /** Bytes on connections that don't parse as a request. */
   readonly garbage: readonly string[]
 }
 
 const DIGEST_CHARACTERS = 16
 
 /**
- * Names bytes.
+ * Identifies a byte sequence by its length and a short digest.
  *
- * @param bytes - any
- * @returns their length and a digest
+ * @param bytes - bytes to identify
+ * @returns length and truncated SHA-1 in hex
  */
 export function digestOf (bytes: Buffer): string {
   return `${bytes.length}-${createHash('sha1').update(bytes).digest('hex').slice(0, DIGEST_CHARACTERS)}`
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersWorkerMain.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersWorkerMain.ts
@@ -1,5 +1,5 @@
 /**
- * Thread of scripted replicas.
+ * Entry point of the worker thread that runs scripted replicas.
  *
  * @module
  */
