--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersCaller.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersCaller.ts
@@ -5,9 +5,9 @@
  */
 import { connect } from 'node:net'
 import type { Socket } from 'node:net'
-import { inChunks } from './BendfallFakesAnswersEncode.js'
+import { encodeChunked } from './BendfallFakesAnswersEncode.js'
 import { createResponseReader } from './BendfallFakesAnswersResponses.js'
-import type { ReadAnswer, ResponseReader } from './BendfallFakesAnswersResponses.js'
+import type { ReceivedResponse, ResponseReader } from './BendfallFakesAnswersResponses.js'
 
 /** Request of a call and the caller's behavior. */
 export interface AnswersCall {
@@ -28,28 +28,28 @@
 export interface CallOutcome {
   /** `left`: the caller closed the connection; `silent`: the response did not end in time. */
   readonly end: 'broken' | 'complete' | 'left' | 'silent'
-  readonly answer: ReadAnswer
+  readonly answer: ReceivedResponse
 }
 
 /** A client with one connection. */
 export interface AnswersCaller {
   readonly call: (call: AnswersCall) => Promise<CallOutcome>
   /** @returns the start of each piece of data received outside a response */
-  readonly unasked: () => readonly string[]
+  readonly unsolicited: () => readonly string[]
   readonly close: () => void
 }
 
 /** A call that has not ended by then is a violation, since routes allow 4 s. */
-const LONGEST_CALL_MS = 7_000
+const MAX_CALL_MS = 7_000
 
 /** Maximum number of pauses of a slow reader: with 10 ms each, 8 MB in chunks of 64 KB take 1.3 s. */
-const MOST_PAUSES = 200
+const MAX_PAUSES = 200
 
 interface Pending {
   readonly call: AnswersCall
   readonly reader: ResponseReader
   pauses: number
-  readonly finish: (end: CallOutcome['end'], answer: ReadAnswer) => void
+  readonly finish: (end: CallOutcome['end'], answer: ReceivedResponse) => void
 }
 
 /**
@@ -59,45 +59,45 @@
  * @returns the client, which connects on its first call
  */
 export function createAnswersCaller (address: { readonly host: string, readonly port: number }): AnswersCaller {
-  const unasked: string[] = []
+  const unsolicited: string[] = []
   let socket: Socket | undefined
   let pending: Pending | undefined
 
-  function open (): Socket {
+  function openConnection (): Socket {
     // Half-open connections let the end of the peer be observed before this side closes, so that it can be distinguished from a reset.
     const opened = connect({ ...address, allowHalfOpen: true })
     opened.setNoDelay(true)
-    opened.on('data', (chunk) => { if (opened === socket) read(opened, chunk) })
+    opened.on('data', (chunk) => { if (opened === socket) handleData(opened, chunk) })
     opened.on('end', () => {
       // A reset connection no longer has a remote address. Node emits no error if it detects
       // the reset together with the last bytes.
-      ended(opened, opened.remoteAddress !== undefined)
+      handleEnd(opened, opened.remoteAddress !== undefined)
       opened.end()
     })
-    opened.on('error', () => ended(opened, false))
-    opened.on('close', () => ended(opened, false))
+    opened.on('error', () => handleEnd(opened, false))
+    opened.on('close', () => handleEnd(opened, false))
     return opened
   }
 
-  function read (from: Socket, chunk: Buffer): void {
+  function handleData (from: Socket, chunk: Buffer): void {
     if (pending === undefined) {
-      unasked.push(chunk.subarray(0, 100).toString('latin1'))
+      unsolicited.push(chunk.subarray(0, 100).toString('latin1'))
       return
     }
     const { call, reader } = pending
     const rest = reader.push(chunk)
     if (rest !== undefined) {
-      if (rest.length > 0) unasked.push(rest.subarray(0, 100).toString('latin1'))
+      if (rest.length > 0) unsolicited.push(rest.subarray(0, 100).toString('latin1'))
       return pending.finish('complete', reader.answer())
     }
-    if (call.readPauseMs === 0 || pending.pauses >= MOST_PAUSES) return
+    if (call.readPauseMs === 0 || pending.pauses >= MAX_PAUSES) return
     pending.pauses += 1
     from.pause()
     setTimeout(() => from.resume(), call.readPauseMs)
   }
 
-  function ended (which: Socket, isOrderly: boolean): void {
-    if (which !== socket) return
+  function handleEnd (closed: Socket, isOrderly: boolean): void {
+    if (closed !== socket) return
     socket = undefined
     if (pending === undefined) return
     const answer = pending.reader.finish(isOrderly)
@@ -105,11 +105,11 @@
   }
 
   function call (request: AnswersCall): Promise<CallOutcome> {
-    socket ??= open()
+    socket ??= openConnection()
     const used = socket
     return new Promise((resolve) => {
       const timers: NodeJS.Timeout[] = []
-      const leave = (end: 'left' | 'silent'): void => {
+      const disconnect = (end: 'left' | 'silent'): void => {
         const answer = pending?.reader.answer()
         socket = undefined
         used.destroy()
@@ -130,19 +130,19 @@
           resolve({ end, answer })
         }
       }
-      timers.push(setTimeout(() => leave('silent'), LONGEST_CALL_MS))
-      if (request.leavesAfterMs !== undefined) timers.push(setTimeout(() => leave('left'), request.leavesAfterMs))
+      timers.push(setTimeout(() => disconnect('silent'), MAX_CALL_MS))
+      if (request.leavesAfterMs !== undefined) timers.push(setTimeout(() => disconnect('left'), request.leavesAfterMs))
       used.resume()
       used.write(encodeCall(request))
     })
   }
 
-  return { call, unasked: () => unasked, close: () => socket?.destroy() }
+  return { call, unsolicited: () => unsolicited, close: () => socket?.destroy() }
 }
 
 function encodeCall ({ body, headers, isChunked, method, path, requestId }: AnswersCall): Buffer {
   const framing = isChunked ? { 'transfer-encoding': 'chunked' } : { 'content-length': String(body.length) }
   const all = { ...headers, 'x-request-id': requestId, ...(method === 'POST' ? framing : {}) }
   const lines = Object.entries(all).map(([name, value]) => `${name}: ${value}\r\n`)
-  return Buffer.concat([Buffer.from(`${method} ${path} HTTP/1.1\r\n${lines.join('')}\r\n`), method === 'POST' && isChunked ? inChunks(body) : body])
+  return Buffer.concat([Buffer.from(`${method} ${path} HTTP/1.1\r\n${lines.join('')}\r\n`), method === 'POST' && isChunked ? encodeChunked(body) : body])
 }
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersEncode.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersEncode.ts
@@ -6,7 +6,7 @@
 import type { AnswerScript, AskedFor } from './BendfallFakesAnswersScript.js'
 
 /** Request-dependent content of a response. */
-export interface AnswerOf {
+export interface ResponseContext {
   readonly asked: AskedFor
   /** Id that the request carried. */
   readonly requestId?: string
@@ -14,13 +14,13 @@
   /** Sequence number of the response at its replica. */
   readonly serial: number
   /** Handle or hold that the response issues. */
-  readonly given?: string
+  readonly issued?: string
   /** Range of the events of a stream; absent for a plain response. */
   readonly events?: { readonly after: number, readonly last: number }
 }
 
 /** An encoded response. */
-export interface EncodedAnswer {
+export interface EncodedResponse {
   readonly head: Buffer
   /** Body with its framing. */
   readonly framed: Buffer
@@ -33,17 +33,17 @@
 /** Statuses with which a replica reports that it has not run the request. */
 const REFUSALS: ReadonlySet<number> = new Set([421, 429, 503])
 
-const NOTES: Readonly<Record<AnswerScript['note'], Buffer>> = {
+const NOTE_LINES: Readonly<Record<AnswerScript['note'], Buffer>> = {
   none: Buffer.alloc(0),
   ascii: Buffer.from('X-Note: plain\r\n'),
   latin1: Buffer.from('X-Note: r\u00e9pliqu\u00e9\r\n', 'latin1'),
   utf8: Buffer.from('X-Note: r\u00e9plique \u2713\r\n', 'utf8')
 }
 
-const CHUNKS = 3
+const CHUNK_COUNT = 3
 
 /** Values of the note header, with one Latin-1 character per byte. */
-export const ANSWER_NOTES: ReadonlySet<string> = new Set(Object.values(NOTES).map((line) => line.toString('latin1').slice('X-Note: '.length).trim()))
+export const NOTE_VALUES: ReadonlySet<string> = new Set(Object.values(NOTE_LINES).map((line) => line.toString('latin1').slice('X-Note: '.length).trim()))
 
 /**
  * Returns whether a status reports that the request was not run.
@@ -62,12 +62,12 @@
  * @param context - request-dependent content
  * @returns head and body, with and without framing
  */
-export function encodeAnswer (script: AnswerScript, of: AnswerOf): EncodedAnswer {
-  const body = bodyOf(script, of)
-  return { head: headOf(script, of, body.length), framed: script.framing === 'chunked' ? inChunks(body) : body, body }
+export function encodeResponse (script: AnswerScript, context: ResponseContext): EncodedResponse {
+  const body = createBody(script, context)
+  return { head: encodeHead(script, context, body.length), framed: script.framing === 'chunked' ? encodeChunked(body) : body, body }
 }
 
-function headOf ({ connection, framing, isIdLast, note, status }: AnswerScript, { asked, replicaId, requestId }: AnswerOf, bodyBytes: number): Buffer {
+function encodeHead ({ connection, framing, isIdLast, note, status }: AnswerScript, { asked, replicaId, requestId }: ResponseContext, bodyBytes: number): Buffer {
   const id = requestId === undefined ? [] : [`X-Request-Id: ${requestId}`]
   const lines = [
     `HTTP/1.1 ${status} ${REASONS[status]}`,
@@ -81,21 +81,21 @@
     ...(framing === 'identity' ? ['Transfer-Encoding: identity'] : []),
     ...(isIdLast ? id : [])
   ]
-  return Buffer.concat([Buffer.from(`${lines.join('\r\n')}\r\n`), NOTES[note], Buffer.from('\r\n')])
+  return Buffer.concat([Buffer.from(`${lines.join('\r\n')}\r\n`), NOTE_LINES[note], Buffer.from('\r\n')])
 }
 
-function bodyOf (script: AnswerScript, of: AnswerOf): Buffer {
-  const { asked, events, given, replicaId, requestId, serial } = of
+function createBody (script: AnswerScript, context: ResponseContext): Buffer {
+  const { asked, events, issued, replicaId, requestId, serial } = context
   if (isRefusal(script.status)) return Buffer.from(`not run ${requestId ?? ''}`)
-  if (asked === 'prefill') return Buffer.from(JSON.stringify({ 'cache-handle': given, tokens: 1, version: 1 }))
-  if (asked === 'hold') return Buffer.from(JSON.stringify({ hold: given }))
+  if (asked === 'prefill') return Buffer.from(JSON.stringify({ 'cache-handle': issued, tokens: 1, version: 1 }))
+  if (asked === 'hold') return Buffer.from(JSON.stringify({ hold: issued }))
   if (asked !== 'run') return Buffer.from('{}')
-  if (events !== undefined && script.status === 200) return Buffer.from(eventsOf(script, requestId ?? '', events))
-  const first = `answer to ${requestId} by ${replicaId} ${serial}\n`
-  return Buffer.from(first.padEnd(script.bodyBytes, first))
+  if (events !== undefined && script.status === 200) return Buffer.from(encodeEvents(script, requestId ?? '', events))
+  const line = `answer to ${requestId} by ${replicaId} ${serial}\n`
+  return Buffer.from(line.padEnd(script.bodyBytes, line))
 }
 
-function eventsOf ({ bodyBytes, hasComments, isLastOpen, lineEnd }: AnswerScript, requestId: string, { after, last }: { readonly after: number, readonly last: number }): string {
+function encodeEvents ({ bodyBytes, hasComments, isLastOpen, lineEnd }: AnswerScript, requestId: string, { after, last }: { readonly after: number, readonly last: number }): string {
   const pad = 'x'.repeat(bodyBytes)
   let text = ''
   for (let id = after + 1; id <= last; id++) {
@@ -112,9 +112,9 @@
  * @param body - body to encode; may be empty
  * @returns the chunks including the final empty one
  */
-export function inChunks (body: Buffer): Buffer {
+export function encodeChunked (body: Buffer): Buffer {
   const parts: Buffer[] = []
-  const size = Math.max(1, Math.ceil(body.length / CHUNKS))
+  const size = Math.max(1, Math.ceil(body.length / CHUNK_COUNT))
   for (let at = 0; at < body.length; at += size) {
     const chunk = body.subarray(at, at + size)
     parts.push(Buffer.from(`${chunk.length.toString(16)}\r\n`), chunk, Buffer.from('\r\n'))
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersFleet.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersFleet.ts
@@ -8,7 +8,7 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { Worker } from 'node:worker_threads'
 import type { AnswerProfile } from './BendfallFakesAnswersProfiles.js'
-import { drawScript, drawStreamForm } from './BendfallFakesAnswersProfiles.js'
+import { drawScript, drawStreamFormat } from './BendfallFakesAnswersProfiles.js'
 import { createRandom } from './BendfallFakesAnswersRandom.js'
 import type { AnswersReplica, ScriptedRequest } from './BendfallFakesAnswersReplica.js'
 import { startAnswersReplica } from './BendfallFakesAnswersReplica.js'
@@ -38,7 +38,7 @@
 
 const WORKER_MODULE = new URL('./BendfallFakesAnswersWorkerMain.js', import.meta.url)
 const SEED_STEP = 1_000
-const LONGEST_CLOSE_MS = 2_000
+const MAX_CLOSE_MS = 2_000
 
 /**
  * Starts the replicas in this thread.
@@ -49,7 +49,7 @@
 export async function startAnswersFleet (plan: FleetPlan): Promise<AnswersFleet> {
   const replicas: AnswersReplica[] = []
   for (const [index, place] of plan.places.entries()) {
-    replicas.push(await startAnswersReplica({ ...place, scriptOf: scriptsOf(plan, index) }))
+    replicas.push(await startAnswersReplica({ ...place, scriptOf: createScriptSource(plan, index) }))
   }
   return {
     addresses: replicas.map(({ address }) => address),
@@ -68,7 +68,7 @@
  * @param plan - seed, profile and replicas
  * @returns the replicas once they listen
  */
-export async function startAnswersFleetApart (plan: FleetPlan): Promise<AnswersFleet> {
+export async function startAnswersFleetInWorker (plan: FleetPlan): Promise<AnswersFleet> {
   const worker = new Worker(WORKER_MODULE, { workerData: plan })
   const next = <T>(): Promise<T> => new Promise((resolve, reject) => {
     worker.once('message', resolve)
@@ -85,20 +85,20 @@
       // Terminating a worker that has half-closed connections may never complete.
       const exited = once(worker, 'exit')
       worker.postMessage('close')
-      await Promise.race([exited, sleep(LONGEST_CLOSE_MS)])
+      await Promise.race([exited, sleep(MAX_CLOSE_MS)])
       worker.unref()
     }
   }
 }
 
-function scriptsOf ({ profile, seed }: FleetPlan, index: number): (request: ScriptedRequest) => AnswerScript {
+function createScriptSource ({ profile, seed }: FleetPlan, index: number): (request: ScriptedRequest) => AnswerScript {
   const random = createRandom(seed * SEED_STEP + index)
   return ({ asked, isStream, requestId }) => {
     const script = drawScript(random, profile, asked)
-    return isStream ? { ...script, ...drawStreamForm(createRandom(seedOf(requestId)), profile) } : script
+    return isStream ? { ...script, ...drawStreamFormat(createRandom(hashSeed(requestId)), profile) } : script
   }
 }
 
-function seedOf (requestId: string): number {
+function hashSeed (requestId: string): number {
   return createHash('sha1').update(requestId).digest().readUInt32BE()
 }
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersFuzz.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersFuzz.ts
@@ -7,14 +7,14 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { AnswersCall, AnswersCaller } from './BendfallFakesAnswersCaller.js'
 import { createAnswersCaller } from './BendfallFakesAnswersCaller.js'
-import { startAnswersFleet, startAnswersFleetApart } from './BendfallFakesAnswersFleet.js'
+import { startAnswersFleet, startAnswersFleetInWorker } from './BendfallFakesAnswersFleet.js'
 import type { CallRecord, Violation } from './BendfallFakesAnswersJudge.js'
 import { findViolations } from './BendfallFakesAnswersJudge.js'
 import type { AnswerProfile } from './BendfallFakesAnswersProfiles.js'
 import { ANSWER_PROFILES } from './BendfallFakesAnswersProfiles.js'
 import { createRandom } from './BendfallFakesAnswersRandom.js'
 import type { Random } from './BendfallFakesAnswersRandom.js'
-import { ANSWERS_HOST, SCENE_PLACES, startAnswersScene } from './BendfallFakesAnswersScene.js'
+import { ANSWERS_HOST, REPLICA_PLACES, startAnswersEntry } from './BendfallFakesAnswersScene.js'
 import type { AnswersKind } from './BendfallFakesAnswersScene.js'
 import type { AnswersTruth } from './BendfallFakesAnswersTruth.js'
 
@@ -25,7 +25,7 @@
   /** Milliseconds out of each ten for which the entry's thread is blocked. */
   readonly busyMs: number
   /** Whether the replicas run in a worker thread. */
-  readonly isApart: boolean
+  readonly isInWorker: boolean
 }
 
 /** Result of the run of a seed. */
@@ -42,22 +42,22 @@
 const BUSY_MS = [0, 2, 5, 9] as const
 const BUSY_PERIOD_MS = 10
 const CALLERS = 8
-const CALLS_EACH = 30
-const LONGEST_MS = 4_000
+const CALLS_PER_CALLER = 30
+const MAX_DURATION_MS = 4_000
 
 /** Time until the latest duplicate responses have arrived. */
 const SETTLE_MS = 350
 
 const KINDS: readonly AnswersKind[] = ['booking', 'booking', 'brief', 'rate', 'rate', 'summary']
 /** Calls for which the entry makes control calls; the only ones in the profile whose control calls fail. */
-const OWN_KINDS: readonly AnswersKind[] = ['brief', 'summary']
+const CONTROL_CALL_KINDS: readonly AnswersKind[] = ['brief', 'summary']
 const PROMPT_KINDS: ReadonlySet<AnswersKind> = new Set(['brief', 'summary'])
 const REQUEST_BYTES = [0, 10, 3_000, 200_000, 600_000] as const
 const READ_PAUSES_MS = [0, 0, 0, 2, 10] as const
 const CALL_PAUSES_MS = [0, 0, 1, 10] as const
 const CHUNKED_SHARE = 0.3
-const LEAVING_SHARE = 0.03
-const LATEST_LEAVE_MS = 60
+const DISCONNECT_SHARE = 0.03
+const MAX_DISCONNECT_MS = 60
 const CALLER_SEED = 7_919
 
 /**
@@ -74,7 +74,7 @@
     seed,
     profile: ANSWER_PROFILES[seed % profiles] as AnswerProfile,
     busyMs: BUSY_MS[round % BUSY_MS.length] as number,
-    isApart: Math.floor(round / BUSY_MS.length) % 2 === 0
+    isInWorker: Math.floor(round / BUSY_MS.length) % 2 === 0
   }
 }
 
@@ -86,34 +86,34 @@
  */
 export async function fuzzAnswers (plan: FuzzPlan): Promise<FuzzResult> {
   const crashes: Violation[] = []
-  const noteCrash = (error: unknown): void => { crashes.push({ type: 'crash', requestId: '', detail: error instanceof Error ? error.stack ?? error.message : String(error) }) }
-  process.on('uncaughtException', noteCrash)
-  const fleet = await (plan.isApart ? startAnswersFleetApart : startAnswersFleet)({ ...plan, places: SCENE_PLACES })
-  const scene = await startAnswersScene(SCENE_PLACES, fleet)
-  const callers = Array.from({ length: CALLERS }, () => createAnswersCaller(scene.callers))
-  const stopBusy = keepBusy(plan.busyMs)
+  const recordCrash = (error: unknown): void => { crashes.push({ type: 'crash', requestId: '', detail: error instanceof Error ? error.stack ?? error.message : String(error) }) }
+  process.on('uncaughtException', recordCrash)
+  const fleet = await (plan.isInWorker ? startAnswersFleetInWorker : startAnswersFleet)({ ...plan, places: REPLICA_PLACES })
+  const entry = await startAnswersEntry(REPLICA_PLACES, fleet)
+  const callers = Array.from({ length: CALLERS }, () => createAnswersCaller(entry.callers))
+  const stopBlocking = blockEventLoop(plan.busyMs)
   const records: CallRecord[] = []
   try {
-    const endsAtMs = performance.now() + LONGEST_MS
-    await Promise.all(callers.map((caller, index) => callOn(plan, index, caller, records, endsAtMs)))
+    const endsAtMs = performance.now() + MAX_DURATION_MS
+    await Promise.all(callers.map((caller, index) => runCaller(plan, index, caller, records, endsAtMs)))
     await sleep(SETTLE_MS)
-    stopBusy()
+    stopBlocking()
     const truth = await fleet.truth()
-    const violations = [...crashes, ...findViolations(records, truth), ...findUnasked(callers)]
-    return { plan, calls: records.length, ends: countEnds(records), violations, evidence: findEvidence(scene.lines, violations, truth) }
+    const violations = [...crashes, ...findViolations(records, truth), ...findUnsolicited(callers)]
+    return { plan, calls: records.length, ends: countEnds(records), violations, evidence: findEvidence(entry.lines, violations, truth) }
   } finally {
-    stopBusy()
+    stopBlocking()
     for (const caller of callers) caller.close()
-    await scene.close()
+    await entry.close()
     await fleet.close()
-    process.off('uncaughtException', noteCrash)
+    process.off('uncaughtException', recordCrash)
   }
 }
 
-async function callOn ({ profile, seed }: FuzzPlan, index: number, caller: AnswersCaller, records: CallRecord[], endsAtMs: number): Promise<void> {
+async function runCaller ({ profile, seed }: FuzzPlan, index: number, caller: AnswersCaller, records: CallRecord[], endsAtMs: number): Promise<void> {
   const random = createRandom(seed * CALLER_SEED + index)
-  for (let i = 0; i < CALLS_EACH && performance.now() < endsAtMs; i++) {
-    const kind = random.pick(profile === 'own_calls' ? OWN_KINDS : KINDS)
+  for (let i = 0; i < CALLS_PER_CALLER && performance.now() < endsAtMs; i++) {
+    const kind = random.pick(profile === 'own_calls' ? CONTROL_CALL_KINDS : KINDS)
     const call = drawCall(random, kind, `s${seed}-${index}-${i}`)
     records.push({ kind, call, outcome: await caller.call(call) })
     await sleep(random.pick(CALL_PAUSES_MS))
@@ -131,12 +131,12 @@
     body: Buffer.from(`${requestId} `.repeat(Math.ceil(bytes / (requestId.length + 1)))),
     isChunked: random.chance(CHUNKED_SHARE),
     readPauseMs: random.pick(READ_PAUSES_MS),
-    leavesAfterMs: random.chance(LEAVING_SHARE) ? random.whole(LATEST_LEAVE_MS) : undefined
+    leavesAfterMs: random.chance(DISCONNECT_SHARE) ? random.integer(MAX_DISCONNECT_MS) : undefined
   }
 }
 
 // Blocks the event loop periodically, as the load of a busy process does between two polls of its sockets.
-function keepBusy (busyMs: number): () => void {
+function blockEventLoop (busyMs: number): () => void {
   if (busyMs === 0) return () => {}
   const timer = setInterval(() => {
     const endsAtMs = performance.now() + busyMs
@@ -145,8 +145,8 @@
   return () => clearInterval(timer)
 }
 
-function findUnasked (callers: readonly AnswersCaller[]): Violation[] {
-  return callers.flatMap((caller) => caller.unasked()).map((detail) => ({ type: 'unasked_answer', requestId: '', detail }))
+function findUnsolicited (callers: readonly AnswersCaller[]): Violation[] {
+  return callers.flatMap((caller) => caller.unsolicited()).map((detail) => ({ type: 'unasked_answer', requestId: '', detail }))
 }
 
 function countEnds (records: readonly CallRecord[]): Readonly<Record<string, number>> {
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersFuzzMain.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersFuzzMain.ts
@@ -12,7 +12,7 @@
 let failed = 0
 for (let seed = first; seed < first + count; seed++) {
   const { calls, ends, evidence, plan, violations } = await fuzzAnswers(planOf(seed))
-  console.log(`seed ${seed} ${plan.profile} busy ${plan.busyMs} ${plan.isApart ? 'apart' : 'together'}: ${calls} calls, ${violations.length} violations, ${JSON.stringify(ends)}`)
+  console.log(`seed ${seed} ${plan.profile} busy ${plan.busyMs} ${plan.isInWorker ? 'apart' : 'together'}: ${calls} calls, ${violations.length} violations, ${JSON.stringify(ends)}`)
   for (const { detail, requestId, type } of violations) console.log(`  ${type} ${requestId}: ${detail.slice(0, SHOWN_CHARACTERS)}`)
   if (isVerbose) for (const line of evidence) console.log(`    ${line}`)
   if (violations.length > 0) failed += 1
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersJudge.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersJudge.ts
@@ -5,21 +5,21 @@
  */
 import { STREAM_EVENTS } from './BendfallFakesAnswersReplica.js'
 import type { AnswersCall, CallOutcome } from './BendfallFakesAnswersCaller.js'
-import { ANSWER_NOTES, isRefusal } from './BendfallFakesAnswersEncode.js'
-import type { ReadAnswer } from './BendfallFakesAnswersResponses.js'
+import { isRefusal, NOTE_VALUES } from './BendfallFakesAnswersEncode.js'
+import type { ReceivedResponse } from './BendfallFakesAnswersResponses.js'
 import type { AnswersKind } from './BendfallFakesAnswersScene.js'
-import { hasOpenEnd } from './BendfallFakesAnswersScript.js'
+import { isCloseDelimited } from './BendfallFakesAnswersScript.js'
 import type { AnswersTruth, Arrival } from './BendfallFakesAnswersTruth.js'
 import { digestOf } from './BendfallFakesAnswersTruth.js'
 
 /** Guarantee that was violated. */
-export type ViolationClass =
+export type ViolationType =
   | 'changed_header' | 'crash' | 'cut_looks_complete' | 'foreign_answer' | 'foreign_handle' | 'foreign_hold' | 'handle_reused' | 'other_request_sent' | 'other_stamp' | 'other_status'
   | 'ran_twice' | 'refused_and_ran' | 'reset_looks_complete' | 'silent' | 'stream_pieces' | 'stream_tail_dropped' | 'unasked_answer' | 'unsigned'
 
 /** A violated guarantee and its evidence. */
 export interface Violation {
-  readonly type: ViolationClass
+  readonly type: ViolationType
   readonly requestId: string
   readonly detail: string
 }
@@ -32,7 +32,7 @@
 }
 
 /** Kinds of calls that run at most once. */
-const ONCE: ReadonlySet<AnswersKind> = new Set(['booking', 'summary'])
+const AT_MOST_ONCE: ReadonlySet<AnswersKind> = new Set(['booking', 'summary'])
 const STREAMS: ReadonlySet<AnswersKind> = new Set(['brief', 'summary'])
 
 /** Statuses that guarantee that the request has not run. */
@@ -49,92 +49,92 @@
   const byRequest = new Map<string, Arrival[]>()
   for (const arrival of truth.arrivals) byRequest.set(arrival.requestId, [...byRequest.get(arrival.requestId) ?? [], arrival])
   return [
-    ...records.flatMap((record) => judge(record, byRequest.get(record.call.requestId) ?? [])),
-    ...judgeMemory(truth),
+    ...records.flatMap((record) => checkCall(record, byRequest.get(record.call.requestId) ?? [])),
+    ...checkMemory(truth),
     ...truth.garbage.map((detail) => ({ type: 'other_request_sent' as const, requestId: '', detail }))
   ]
 }
 
-function judge ({ call, kind, outcome }: CallRecord, arrivals: readonly Arrival[]): Violation[] {
+function checkCall ({ call, kind, outcome }: CallRecord, arrivals: readonly Arrival[]): Violation[] {
   const { answer, end } = outcome
-  const found: Array<readonly [ViolationClass, string]> = []
+  const found: Array<readonly [ViolationType, string]> = []
   const runs = arrivals.filter(({ hasRun }) => hasRun)
   if (end === 'silent') found.push(['silent', `status ${answer.status}, ${answer.body.length} bytes`])
-  if (ONCE.has(kind) && runs.length > 1) found.push(['ran_twice', `${runs.length} times`])
-  if (ONCE.has(kind) && NOT_RUN_STATUSES.has(answer.status) && runs.length > 0) found.push(['refused_and_ran', `status ${answer.status}`])
-  found.push(...judgeSent(call, arrivals), ...judgeAnswer(call, answer, arrivals))
-  if (STREAMS.has(kind) && answer.status === 200) found.push(...judgePieces(call, answer))
-  return found.map(([type, detail]) => ({ type, requestId: call.requestId, detail: `${kind} ${detail}; ${answer.framing} ${end}; arrivals: ${arrivals.map(describe).join(' | ')}` }))
+  if (AT_MOST_ONCE.has(kind) && runs.length > 1) found.push(['ran_twice', `${runs.length} times`])
+  if (AT_MOST_ONCE.has(kind) && NOT_RUN_STATUSES.has(answer.status) && runs.length > 0) found.push(['refused_and_ran', `status ${answer.status}`])
+  found.push(...checkForwardedRequest(call, arrivals), ...checkResponse(call, answer, arrivals))
+  if (STREAMS.has(kind) && answer.status === 200) found.push(...checkEvents(call, answer))
+  return found.map(([type, detail]) => ({ type, requestId: call.requestId, detail: `${kind} ${detail}; ${answer.framing} ${end}; arrivals: ${arrivals.map(describeArrival).join(' | ')}` }))
 }
 
-function describe ({ answer, asked, atMs, connection, hasRun, replicaId, script }: Arrival): string {
+function describeArrival ({ answer, asked, atMs, connection, hasRun, replicaId, script }: Arrival): string {
   return `${asked} at ${replicaId}/${connection} ${Math.round(atMs)} ${hasRun ? 'ran' : ''} ${answer.body} ${script}`
 }
 
-function judgeSent ({ body, method, path }: AnswersCall, arrivals: readonly Arrival[]): Array<readonly [ViolationClass, string]> {
+function checkForwardedRequest ({ body, method, path }: AnswersCall, arrivals: readonly Arrival[]): Array<readonly [ViolationType, string]> {
   const sent = digestOf(body)
   return arrivals
     .filter((arrival) => arrival.method !== method || arrival.path !== path || (arrival.sentRequest ?? sent) !== sent)
     .map((arrival) => ['other_request_sent', `${arrival.method} ${arrival.path} ${arrival.sentRequest} for ${method} ${path} ${sent}`] as const)
 }
 
-function judgeAnswer ({ requestId }: AnswersCall, answer: ReadAnswer, arrivals: readonly Arrival[]): Array<readonly [ViolationClass, string]> {
+function checkResponse ({ requestId }: AnswersCall, answer: ReceivedResponse, arrivals: readonly Arrival[]): Array<readonly [ViolationType, string]> {
   if (answer.status === 0) return []
-  const found: Array<readonly [ViolationClass, string]> = []
+  const found: Array<readonly [ViolationType, string]> = []
   const ids = answer.headers.get('x-request-id') ?? []
   const isSigned = answer.headers.has('x-response-stamp')
   const stamps = answer.headers.get('x-response-stamp') ?? []
   if (stamps.some((stamp) => !/^i-[a-z]$/.test(stamp))) found.push(['other_stamp', stamps.join(', ')])
-  if (ids.some((id) => id !== requestId)) found.push(['foreign_answer', `bears the id ${ids.join(', ')}`])
+  if (ids.some((id) => id !== requestId)) found.push(['foreign_answer', `carries the id ${ids.join(', ')}`])
   if (answer.status < 300 && !isSigned) found.push(['unsigned', `status ${answer.status}`])
-  if ((answer.headers.get('x-note') ?? []).some((note) => !ANSWER_NOTES.has(note))) found.push(['changed_header', `note ${answer.headers.get('x-note')}`])
+  if ((answer.headers.get('x-note') ?? []).some((note) => !NOTE_VALUES.has(note))) found.push(['changed_header', `note ${answer.headers.get('x-note')}`])
   if (!isSigned) return found
-  const ofStatus = arrivals.filter(({ answer: sent, asked }) => asked === 'run' && sent.status === answer.status && !isRefusal(sent.status))
-  if (ofStatus.length === 0) found.push(['other_status', `signed ${answer.status}`])
-  else if (answer.isComplete && !ofStatus.some(({ answer: sent }) => isSame(answer, sent))) found.push([nameCut(ofStatus), `got ${digestOf(answer.body)}`])
+  const sameStatus = arrivals.filter(({ answer: sent, asked }) => asked === 'run' && sent.status === answer.status && !isRefusal(sent.status))
+  if (sameStatus.length === 0) found.push(['other_status', `signed ${answer.status}`])
+  else if (answer.isComplete && !sameStatus.some(({ answer: sent }) => isSameBody(answer, sent))) found.push([classifyTruncation(sameStatus), `received ${digestOf(answer.body)}`])
   return found
 }
 
 // A stream resumed at another replica equals a stream of one replica, since each run uses the same format.
 // A close-delimited response that its replica ended by an orderly close may be any part of the intended body.
-function isSame (answer: ReadAnswer, sent: Arrival['answer']): boolean {
+function isSameBody (answer: ReceivedResponse, sent: Arrival['answer']): boolean {
   const got = digestOf(answer.body)
   return got === sent.body || (answer.framing === 'connection' && got === sent.sentBody)
 }
 
-function nameCut (arrivals: readonly Arrival[]): ViolationClass {
-  if (arrivals.some(({ answer }) => answer.isReset && hasOpenEnd(answer.framing))) return 'reset_looks_complete'
+function classifyTruncation (arrivals: readonly Arrival[]): ViolationType {
+  if (arrivals.some(({ answer }) => answer.isReset && isCloseDelimited(answer.framing))) return 'reset_looks_complete'
   return arrivals.some(({ isStream }) => isStream) ? 'stream_tail_dropped' : 'cut_looks_complete'
 }
 
-function judgePieces ({ requestId }: AnswersCall, { body, framing, isComplete }: ReadAnswer): Array<readonly [ViolationClass, string]> {
+function checkEvents ({ requestId }: AnswersCall, { body, framing, isComplete }: ReceivedResponse): Array<readonly [ViolationType, string]> {
   const text = body.toString('utf8').replaceAll('\r\n', '\n').replaceAll('\r', '\n')
   const ids = [...text.matchAll(/^id: (\d+)\ndata: (\S+) piece/gm)].map((match) => ({ id: Number(match[1]), of: match[2] }))
-  const seen = ids.map(({ id }) => id).join(' ')
-  if (ids.some(({ of }) => of !== requestId)) return [['foreign_answer', `pieces of ${ids.map(({ of }) => of).join(' ')}`]]
-  if (ids.some(({ id }, index) => id !== index + 1)) return [['stream_pieces', `pieces ${seen}`]]
-  const isShort = isComplete && framing !== 'connection' && ids.length !== STREAM_EVENTS
-  return isShort ? [['stream_pieces', `complete after pieces ${seen}`]] : []
+  const receivedIds = ids.map(({ id }) => id).join(' ')
+  if (ids.some(({ of }) => of !== requestId)) return [['foreign_answer', `events of ${ids.map(({ of }) => of).join(' ')}`]]
+  if (ids.some(({ id }, index) => id !== index + 1)) return [['stream_pieces', `events ${receivedIds}`]]
+  const isTruncated = isComplete && framing !== 'connection' && ids.length !== STREAM_EVENTS
+  return isTruncated ? [['stream_pieces', `complete after events ${receivedIds}`]] : []
 }
 
 // A handle or hold may only be used by the request for which it was issued.
-function judgeMemory ({ arrivals }: AnswersTruth): Violation[] {
-  const prefills = new Map(arrivals.filter(({ asked }) => asked === 'prefill').map((arrival) => [arrival.given ?? '', arrival]))
-  const holds = new Set(arrivals.filter(({ asked }) => asked === 'hold').map(({ given }) => given))
-  const users = new Map<string, Arrival>()
+function checkMemory ({ arrivals }: AnswersTruth): Violation[] {
+  const prefills = new Map(arrivals.filter(({ asked }) => asked === 'prefill').map((arrival) => [arrival.issued ?? '', arrival]))
+  const holds = new Set(arrivals.filter(({ asked }) => asked === 'hold').map(({ issued }) => issued))
+  const lastUsers = new Map<string, Arrival>()
   const found: Violation[] = []
   for (const arrival of arrivals) {
     const { hold, requestId, source } = arrival
     const handle = source?.slice(source.indexOf('/') + 1)
     const prefill = prefills.get(handle ?? '')
-    const report = (type: ViolationClass, detail: string): void => { found.push({ type, requestId, detail: `${detail}; ${describe(arrival)}` }) }
-    if (handle !== undefined && prefill?.requestId !== requestId) report('foreign_handle', `${handle} is of ${prefill?.requestId}: ${prefill === undefined ? '' : describe(prefill)}`)
-    if (hold !== undefined && !holds.has(hold)) report('foreign_hold', `${hold} was given to nobody`)
+    const report = (type: ViolationType, detail: string): void => { found.push({ type, requestId, detail: `${detail}; ${describeArrival(arrival)}` }) }
+    if (handle !== undefined && prefill?.requestId !== requestId) report('foreign_handle', `${handle} belongs to ${prefill?.requestId}: ${prefill === undefined ? '' : describeArrival(prefill)}`)
+    if (hold !== undefined && !holds.has(hold)) report('foreign_hold', `${hold} was never issued`)
     for (const memory of [handle, hold]) {
       if (memory === undefined) continue
-      const user = users.get(memory)
-      if (user !== undefined && user.requestId !== requestId) report(memory === hold ? 'foreign_hold' : 'handle_reused', `${memory} was used by ${user.requestId}`)
-      users.set(memory, arrival)
+      const lastUser = lastUsers.get(memory)
+      if (lastUser !== undefined && lastUser.requestId !== requestId) report(memory === hold ? 'foreign_hold' : 'handle_reused', `${memory} was used by ${lastUser.requestId}`)
+      lastUsers.set(memory, arrival)
     }
   }
   return found
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersPlay.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersPlay.ts
@@ -5,12 +5,12 @@
  */
 import type { Socket } from 'node:net'
 import { setImmediate as nextTurn, setTimeout as sleep } from 'node:timers/promises'
-import type { EncodedAnswer } from './BendfallFakesAnswersEncode.js'
+import type { EncodedResponse } from './BendfallFakesAnswersEncode.js'
 import type { AnswerScript, ScriptCut, ScriptDouble } from './BendfallFakesAnswersScript.js'
-import { hasOpenEnd } from './BendfallFakesAnswersScript.js'
+import { isCloseDelimited } from './BendfallFakesAnswersScript.js'
 
 /** Longer responses are not written byte by byte. */
-const LONGEST_BYTEWISE = 400
+const MAX_BYTEWISE_BYTES = 400
 
 /** Length of `HTTP/1.1 200 `. */
 const STATUS_BYTES = 13
@@ -23,17 +23,17 @@
  *
  * @param socket - connection to write to
  * @param script - segments, pauses and faults of the response
- * @param answer - encoded response
- * @param before - duplicate of a previous response to send in the same segment
+ * @param response - encoded response
+ * @param previousDuplicate - duplicate of a previous response to send in the same segment
  */
-export async function playAnswer (socket: Socket, script: AnswerScript, answer: EncodedAnswer, before: Buffer): Promise<void> {
+export async function writeResponse (socket: Socket, script: AnswerScript, response: EncodedResponse, previousDuplicate: Buffer): Promise<void> {
   const { cut } = script
-  const bytes = Buffer.concat([preludeOf(script), before, answer.head, answer.framed])
-  const extraBytes = bytes.length - answer.head.length - answer.framed.length
-  const sent = cut === undefined ? bytes : bytes.subarray(0, extraBytes + cutPosition(cut, answer))
-  const after = hasDoubleBehind(script) ? doubleBytes(script.double, answer) : Buffer.alloc(0)
+  const bytes = Buffer.concat([preludeOf(script), previousDuplicate, response.head, response.framed])
+  const prefixBytes = bytes.length - response.head.length - response.framed.length
+  const sent = cut === undefined ? bytes : bytes.subarray(0, prefixBytes + cutPosition(cut, response))
+  const after = hasAppendedDuplicate(script) ? encodeDuplicate(script.double, response) : Buffer.alloc(0)
   await writeParts(socket, Buffer.concat([sent, after]), script)
-  if (cut !== undefined) await breakOff(socket, cut)
+  if (cut !== undefined) await cutConnection(socket, cut)
   else if (endsConnection(script)) socket.end()
 }
 
@@ -44,21 +44,21 @@
  * @returns true if no further response can follow
  */
 export function endsConnection (script: AnswerScript): boolean {
-  return script.cut !== undefined || hasOpenEnd(script.framing) || script.connection === 'close'
+  return script.cut !== undefined || isCloseDelimited(script.framing) || script.connection === 'close'
 }
 
 /**
  * Encodes a duplicate response.
  *
  * @param double - part of the response to repeat
- * @param answer - response to duplicate
+ * @param response - response to duplicate
  * @returns the bytes
  */
-export function doubleBytes ({ part, share }: ScriptDouble, answer: EncodedAnswer): Buffer {
-  if (part === 'whole') return Buffer.concat([answer.head, answer.framed])
-  if (part === 'line_cut') return answer.head.subarray(0, STATUS_BYTES)
-  if (part === 'head_cut') return answer.head.subarray(0, Math.ceil(share * answer.head.length))
-  return Buffer.concat([answer.head, answer.framed.subarray(0, Math.floor(share * answer.framed.length))])
+export function encodeDuplicate ({ part, share }: ScriptDouble, response: EncodedResponse): Buffer {
+  if (part === 'whole') return Buffer.concat([response.head, response.framed])
+  if (part === 'line_cut') return response.head.subarray(0, STATUS_BYTES)
+  if (part === 'head_cut') return response.head.subarray(0, Math.ceil(share * response.head.length))
+  return Buffer.concat([response.head, response.framed.subarray(0, Math.floor(share * response.framed.length))])
 }
 
 /**
@@ -68,7 +68,7 @@
  * @param answer - encoded response
  * @returns number of bytes of head and framed body before the cut
  */
-export function cutPosition ({ at, share }: ScriptCut, { framed, head }: EncodedAnswer): number {
+export function cutPosition ({ at, share }: ScriptCut, { framed, head }: EncodedResponse): number {
   const places: Readonly<Record<ScriptCut['at'], number>> = {
     head: Math.floor(share * head.length),
     body: head.length + Math.floor(share * framed.length),
@@ -79,8 +79,8 @@
 }
 
 // A close-delimited response can't be followed by a duplicate, whose bytes would be part of the body.
-function hasDoubleBehind (script: AnswerScript): script is AnswerScript & { readonly double: ScriptDouble } {
-  return script.double?.when === 'same_segment' && script.cut === undefined && !hasOpenEnd(script.framing)
+function hasAppendedDuplicate (script: AnswerScript): script is AnswerScript & { readonly double: ScriptDouble } {
+  return script.double?.when === 'same_segment' && script.cut === undefined && !isCloseDelimited(script.framing)
 }
 
 function preludeOf ({ prelude }: AnswerScript): Buffer {
@@ -89,7 +89,7 @@
 }
 
 async function writeParts (socket: Socket, bytes: Buffer, { pieceDelayMs, pieces, write }: AnswerScript): Promise<void> {
-  const isBytewise = write === 'bytes' && bytes.length <= LONGEST_BYTEWISE
+  const isBytewise = write === 'bytes' && bytes.length <= MAX_BYTEWISE_BYTES
   const count = isBytewise ? bytes.length : write === 'pieces' ? pieces : 1
   const size = Math.max(1, Math.ceil(bytes.length / Math.max(1, count)))
   for (let at = 0; at < bytes.length && !socket.destroyed; at += size) {
@@ -100,7 +100,7 @@
   }
 }
 
-async function breakOff (socket: Socket, { afterMs, how }: ScriptCut): Promise<void> {
+async function cutConnection (socket: Socket, { afterMs, how }: ScriptCut): Promise<void> {
   if (afterMs > 0) await sleep(afterMs)
   if (!socket.writable) return
   if (how === 'fin') socket.end()
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersProfiles.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersProfiles.ts
@@ -6,7 +6,7 @@
  */
 import type { Random } from './BendfallFakesAnswersRandom.js'
 import type { AnswerScript, AskedFor, ScriptCut, ScriptDouble } from './BendfallFakesAnswersScript.js'
-import { hasOpenEnd, SOUND_SCRIPT } from './BendfallFakesAnswersScript.js'
+import { DEFAULT_SCRIPT, isCloseDelimited } from './BendfallFakesAnswersScript.js'
 
 /** Kinds of faults that a seed can favor. */
 export const ANSWER_PROFILES = ['resets', 'doubles', 'framing', 'streams', 'slow', 'refusals', 'headers', 'own_calls', 'mixed'] as const
@@ -16,7 +16,7 @@
 
 interface Weights {
   readonly cut: number
-  readonly double: number
+  readonly duplicate: number
   readonly refusal: number
   readonly failure: number
   readonly idleEnd: number
@@ -26,26 +26,26 @@
   readonly note: number
   readonly prelude: number
   readonly early: number
-  readonly odd: number
+  readonly unusualFormat: number
   /** Transfer codings other than chunked. */
-  readonly coding: number
+  readonly identityCoding: number
   /** Duplicate responses to and refusals of calls other than runs, i.e. prefills and control calls. */
-  readonly ownDouble: number
-  readonly ownRefusal: number
+  readonly nonRunDuplicate: number
+  readonly nonRunRefusal: number
 }
 
-const NONE: Weights = { cut: 0, double: 0, refusal: 0.03, failure: 0.03, idleEnd: 0, large: 0.02, huge: 0, note: 0, prelude: 0, early: 0, odd: 0, coding: 0, ownDouble: 0, ownRefusal: 0.03 }
+const BASE_WEIGHTS: Weights = { cut: 0, duplicate: 0, refusal: 0.03, failure: 0.03, idleEnd: 0, large: 0.02, huge: 0, note: 0, prelude: 0, early: 0, unusualFormat: 0, identityCoding: 0, nonRunDuplicate: 0, nonRunRefusal: 0.03 }
 
 const WEIGHTS: Readonly<Record<AnswerProfile, Weights>> = {
-  resets: { ...NONE, cut: 0.5, idleEnd: 0.3, large: 0.05 },
-  doubles: { ...NONE, double: 0.4, refusal: 0.1, failure: 0.1, ownDouble: 0.3 },
-  framing: { ...NONE, cut: 0.2, prelude: 0.1, early: 0.5, coding: 0.1 },
-  streams: { ...NONE, cut: 0.2, odd: 0.7 },
-  slow: { ...NONE, cut: 0.3, large: 0.4, huge: 0.3 },
-  refusals: { ...NONE, double: 0.3, refusal: 0.4, failure: 0.15, ownDouble: 0.3, ownRefusal: 0.3 },
-  headers: { ...NONE, note: 0.3, prelude: 0.1 },
-  own_calls: { ...NONE, ownDouble: 0.5, ownRefusal: 0.3 },
-  mixed: { cut: 0.15, double: 0.15, refusal: 0.1, failure: 0.08, idleEnd: 0.1, large: 0.1, huge: 0.1, note: 0.03, prelude: 0.04, early: 0.15, odd: 0.15, coding: 0.03, ownDouble: 0.15, ownRefusal: 0.1 }
+  resets: { ...BASE_WEIGHTS, cut: 0.5, idleEnd: 0.3, large: 0.05 },
+  doubles: { ...BASE_WEIGHTS, duplicate: 0.4, refusal: 0.1, failure: 0.1, nonRunDuplicate: 0.3 },
+  framing: { ...BASE_WEIGHTS, cut: 0.2, prelude: 0.1, early: 0.5, identityCoding: 0.1 },
+  streams: { ...BASE_WEIGHTS, cut: 0.2, unusualFormat: 0.7 },
+  slow: { ...BASE_WEIGHTS, cut: 0.3, large: 0.4, huge: 0.3 },
+  refusals: { ...BASE_WEIGHTS, duplicate: 0.3, refusal: 0.4, failure: 0.15, nonRunDuplicate: 0.3, nonRunRefusal: 0.3 },
+  headers: { ...BASE_WEIGHTS, note: 0.3, prelude: 0.1 },
+  own_calls: { ...BASE_WEIGHTS, nonRunDuplicate: 0.5, nonRunRefusal: 0.3 },
+  mixed: { cut: 0.15, duplicate: 0.15, refusal: 0.1, failure: 0.08, idleEnd: 0.1, large: 0.1, huge: 0.1, note: 0.03, prelude: 0.04, early: 0.15, unusualFormat: 0.15, identityCoding: 0.03, nonRunDuplicate: 0.15, nonRunRefusal: 0.1 }
 }
 
 const LARGE_BYTES = [300_000, 1_000_000] as const
@@ -54,13 +54,13 @@
 const HUGE_EVENT_BYTES = 1_600_000
 const LARGE_EVENT_BYTES = 60_000
 const SMALL_EVENT_BYTES = [0, 20, 600] as const
-const LATEST_DOUBLE_MS = 300
-const LATEST_RESET_MS = 8
-const LATEST_IDLE_END_MS = 30
-const OWN_BYTES = 0
+const MAX_DUPLICATE_DELAY_MS = 300
+const MAX_CUT_DELAY_MS = 8
+const MAX_IDLE_MS = 30
+const NON_RUN_BODY_BYTES = 0
 
 /** Format of the events of a stream, which is the same in each run of the request. */
-export type StreamForm = Pick<AnswerScript, 'bodyBytes' | 'hasComments' | 'isLastOpen' | 'lineEnd'>
+export type StreamFormat = Pick<AnswerScript, 'bodyBytes' | 'hasComments' | 'isLastOpen' | 'lineEnd'>
 
 /**
  * Draws the format of a stream.
@@ -69,14 +69,14 @@
  * @param profile - profile of the seed
  * @returns the format
  */
-export function drawStreamForm (random: Random, profile: AnswerProfile): StreamForm {
+export function drawStreamFormat (random: Random, profile: AnswerProfile): StreamFormat {
   const weights = WEIGHTS[profile]
-  const isOdd = random.chance(weights.odd)
+  const isUnusual = random.chance(weights.unusualFormat)
   return {
     bodyBytes: random.chance(weights.large) ? random.chance(weights.huge) ? HUGE_EVENT_BYTES : LARGE_EVENT_BYTES : random.pick(SMALL_EVENT_BYTES),
-    lineEnd: isOdd ? random.pick(['\n', '\r\n', '\r'] as const) : '\n',
-    hasComments: isOdd && random.chance(0.4),
-    isLastOpen: isOdd && random.chance(0.4)
+    lineEnd: isUnusual ? random.pick(['\n', '\r\n', '\r'] as const) : '\n',
+    hasComments: isUnusual && random.chance(0.4),
+    isLastOpen: isUnusual && random.chance(0.4)
   }
 }
 
@@ -90,34 +90,34 @@
  */
 export function drawScript (random: Random, profile: AnswerProfile, asked: AskedFor): AnswerScript {
   const weights = WEIGHTS[profile]
-  const framing = random.chance(weights.coding) ? 'identity' : random.pick(['length', 'chunked', 'connection'] as const)
+  const framing = random.chance(weights.identityCoding) ? 'identity' : random.pick(['length', 'chunked', 'connection'] as const)
   return {
-    ...SOUND_SCRIPT,
+    ...DEFAULT_SCRIPT,
     status: drawStatus(random, weights, asked),
     framing,
-    connection: hasOpenEnd(framing) ? random.pick(['close', 'none'] as const) : random.pick(['none', 'none', 'keep-alive', 'close'] as const),
+    connection: isCloseDelimited(framing) ? random.pick(['close', 'none'] as const) : random.pick(['none', 'none', 'keep-alive', 'close'] as const),
     prelude: random.chance(weights.prelude) ? random.pick(['hints', 'garbage'] as const) : 'none',
     note: random.chance(weights.note) ? random.pick(['ascii', 'latin1', 'utf8'] as const) : 'none',
     isIdLast: random.chance(0.3),
     write: random.pick(['whole', 'whole', 'pieces', 'bytes'] as const),
-    pieces: 2 + random.whole(6),
-    pieceDelayMs: random.whole(5),
-    bodyBytes: drawBytes(random, weights, asked),
+    pieces: 2 + random.integer(6),
+    pieceDelayMs: random.integer(5),
+    bodyBytes: drawBodyBytes(random, weights, asked),
     cut: random.chance(weights.cut) ? drawCut(random) : undefined,
-    double: random.chance(asked === 'run' ? weights.double : weights.ownDouble) ? drawDouble(random) : undefined,
+    double: random.chance(asked === 'run' ? weights.duplicate : weights.nonRunDuplicate) ? drawDuplicate(random) : undefined,
     isEarly: random.chance(weights.early),
     workMs: random.pick([0, 0, 1, 5, 20, 60] as const),
-    idleEnd: random.chance(weights.idleEnd) ? { how: random.pick(['fin', 'reset'] as const), afterMs: random.whole(LATEST_IDLE_END_MS) } : undefined
+    idleEnd: random.chance(weights.idleEnd) ? { how: random.pick(['fin', 'reset'] as const), afterMs: random.integer(MAX_IDLE_MS) } : undefined
   }
 }
 
-function drawStatus (random: Random, { failure, ownRefusal, refusal }: Weights, asked: AskedFor): AnswerScript['status'] {
-  if (random.chance(asked === 'run' ? refusal : ownRefusal)) return random.pick([503, 503, 503, 429, 421] as const)
+function drawStatus (random: Random, { failure, nonRunRefusal, refusal }: Weights, asked: AskedFor): AnswerScript['status'] {
+  if (random.chance(asked === 'run' ? refusal : nonRunRefusal)) return random.pick([503, 503, 503, 429, 421] as const)
   return asked === 'run' && random.chance(failure) ? 500 : 200
 }
 
-function drawBytes (random: Random, { huge, large }: Weights, asked: AskedFor): number {
-  if (asked !== 'run') return OWN_BYTES
+function drawBodyBytes (random: Random, { huge, large }: Weights, asked: AskedFor): number {
+  if (asked !== 'run') return NON_RUN_BODY_BYTES
   if (!random.chance(large)) return random.pick(SMALL_BYTES)
   return random.chance(huge) ? HUGE_BYTES : random.pick(LARGE_BYTES)
 }
@@ -126,16 +126,16 @@
   return {
     how: random.pick(['fin', 'reset', 'reset'] as const),
     at: random.pick(['head', 'body', 'body', 'body', 'last_byte', 'end'] as const),
-    share: random.whole(1_000) / 1_000,
-    afterMs: random.pick([0, 0, random.whole(LATEST_RESET_MS + 1)] as const)
+    share: random.integer(1_000) / 1_000,
+    afterMs: random.pick([0, 0, random.integer(MAX_CUT_DELAY_MS + 1)] as const)
   }
 }
 
-function drawDouble (random: Random): ScriptDouble {
+function drawDuplicate (random: Random): ScriptDouble {
   return {
     part: random.pick(['whole', 'whole', 'whole', 'body_cut', 'head_cut', 'head_cut', 'line_cut'] as const),
     when: random.pick(['late', 'late', 'with_next', 'same_segment'] as const),
-    afterMs: random.pick([0, 1, random.whole(20), random.whole(LATEST_DOUBLE_MS)] as const),
-    share: random.whole(1_000) / 1_000
+    afterMs: random.pick([0, 1, random.integer(20), random.integer(MAX_DUPLICATE_DELAY_MS)] as const),
+    share: random.integer(1_000) / 1_000
   }
 }
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersRandom.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersRandom.ts
@@ -8,7 +8,7 @@
 /** Deterministic random source. */
 export interface Random {
   /** @returns an integer from 0 to `below` - 1 */
-  readonly whole: (below: number) => number
+  readonly integer: (below: number) => number
   /** @returns one of the items */
   readonly pick: <T>(items: readonly T[]) => T
   /** @returns true with this probability */
@@ -16,7 +16,7 @@
 }
 
 /** Resolution of probabilities. */
-const CHANCES = 10_000
+const PROBABILITY_STEPS = 10_000
 
 /**
  * Creates a random source.
@@ -27,15 +27,15 @@
 export function createRandom (seed: number): Random {
   let state = seed
 
-  function whole (below: number): number {
+  function integer (below: number): number {
     const drawn = drawIndex(state, Math.max(1, below))
     state = drawn.seed
     return drawn.value
   }
 
   return {
-    whole,
-    pick: (items) => items[whole(items.length)] as (typeof items)[number],
-    chance: (probability) => whole(CHANCES) < probability * CHANCES
+    integer,
+    pick: (items) => items[integer(items.length)] as (typeof items)[number],
+    chance: (probability) => integer(PROBABILITY_STEPS) < probability * PROBABILITY_STEPS
   }
 }
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersReplica.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersReplica.ts
@@ -7,15 +7,15 @@
 import { createServer } from 'node:net'
 import type { AddressInfo, Socket } from 'node:net'
 import { setTimeout as sleep } from 'node:timers/promises'
-import type { AnswerOf, EncodedAnswer } from './BendfallFakesAnswersEncode.js'
-import { encodeAnswer, isRefusal } from './BendfallFakesAnswersEncode.js'
-import { cutPosition, doubleBytes, endsConnection, playAnswer } from './BendfallFakesAnswersPlay.js'
+import type { EncodedResponse, ResponseContext } from './BendfallFakesAnswersEncode.js'
+import { encodeResponse, isRefusal } from './BendfallFakesAnswersEncode.js'
+import { cutPosition, encodeDuplicate, endsConnection, writeResponse } from './BendfallFakesAnswersPlay.js'
 import { createRequestReader } from './BendfallFakesAnswersRequests.js'
 import type { RequestHead } from './BendfallFakesAnswersRequests.js'
 import type { AnswerScript, AskedFor, ScriptIdleEnd } from './BendfallFakesAnswersScript.js'
-import { describeScript, hasOpenEnd } from './BendfallFakesAnswersScript.js'
+import { describeScript, isCloseDelimited } from './BendfallFakesAnswersScript.js'
 import { digestOf } from './BendfallFakesAnswersTruth.js'
-import type { AnswersTruth, Arrival, SentAnswer } from './BendfallFakesAnswersTruth.js'
+import type { AnswersTruth, Arrival, SentResponse } from './BendfallFakesAnswersTruth.js'
 
 /** A request for which a script is chosen. */
 export interface ScriptedRequest {
@@ -45,7 +45,7 @@
 /** Number of events in a stream: few, so that a run of the fuzzer stays short. */
 export const STREAM_EVENTS = 5
 
-const OWN_CALLS: ReadonlyArray<readonly [string, AskedFor]> = [['/api/hold-take', 'hold'], ['/api/hold-drop/', 'drop'], ['/api/kv-handle/', 'free']]
+const CONTROL_CALLS: ReadonlyArray<readonly [string, AskedFor]> = [['/api/hold-take', 'hold'], ['/api/hold-drop/', 'drop'], ['/api/kv-handle/', 'free']]
 
 /**
  * Starts a scripted replica on a free port.
@@ -60,22 +60,22 @@
   const sockets = new Set<Socket>()
   let connections = 0
 
-  function note (head: RequestHead, connection: number): { readonly arrival: Arrival, readonly encoded: EncodedAnswer, readonly script: AnswerScript } {
+  function recordArrival (head: RequestHead, connection: number): { readonly arrival: Arrival, readonly encoded: EncodedResponse, readonly script: AnswerScript } {
     const serial = arrivals.length
-    const asked = askedFor(head)
+    const asked = classifyRequest(head)
     const requestId = head.headers.get('x-request-id') ?? ''
     const isStream = asked === 'run' && head.headers.has('x-token-counts')
     const script = scriptOf({ replicaId, asked, requestId, serial, isStream })
-    const given = asked === 'prefill' || asked === 'hold' ? `${asked}-${replicaId}-${serial}` : undefined
-    const of: AnswerOf = {
+    const issued = asked === 'prefill' || asked === 'hold' ? `${asked}-${replicaId}-${serial}` : undefined
+    const context: ResponseContext = {
       asked,
       requestId: head.headers.get('x-request-id'),
       replicaId,
       serial,
-      given,
+      issued,
       events: isStream ? { after: Number(head.headers.get('last-event-id') ?? 0), last: STREAM_EVENTS } : undefined
     }
-    const encoded = encodeAnswer(script, of)
+    const encoded = encodeResponse(script, context)
     const arrival: Arrival = {
       replicaId,
       connection,
@@ -86,11 +86,11 @@
       path: head.path,
       source: head.headers.get('x-kv-source'),
       hold: head.headers.get('x-kv-hold'),
-      given,
+      issued,
       hasRun: asked === 'run' && !isRefusal(script.status),
       atMs: performance.now(),
       script: describeScript(script),
-      answer: answerOf(script, encoded)
+      answer: createSentResponse(script, encoded)
     }
     arrivals.push(arrival)
     return { arrival, encoded, script }
@@ -99,40 +99,40 @@
   function serve (socket: Socket): void {
     connections += 1
     const connection = connections
-    let before: Buffer = Buffer.alloc(0)
+    let pendingDuplicate: Buffer = Buffer.alloc(0)
     // Writes are serialized: a duplicate is written before or after other responses, never within them.
-    let turn: Promise<void> = Promise.resolve()
-    let current: ReturnType<typeof note> | undefined
+    let writeQueue: Promise<void> = Promise.resolve()
+    let current: ReturnType<typeof recordArrival> | undefined
 
-    async function play ({ encoded, script }: ReturnType<typeof note>): Promise<void> {
+    async function respond ({ encoded, script }: ReturnType<typeof recordArrival>): Promise<void> {
       await sleep(script.workMs)
-      const former = before
-      before = Buffer.alloc(0)
-      await playAnswer(socket, script, encoded, former)
+      const previousDuplicate = pendingDuplicate
+      pendingDuplicate = Buffer.alloc(0)
+      await writeResponse(socket, script, encoded, previousDuplicate)
       const { double, idleEnd } = script
-      if (idleEnd !== undefined) later(idleEnd.afterMs, () => endIdle(socket, idleEnd))
+      if (idleEnd !== undefined) enqueueAfter(idleEnd.afterMs, () => endIdleConnection(socket, idleEnd))
       if (double === undefined || endsConnection(script) || double.when === 'same_segment') return
-      if (double.when === 'with_next') before = doubleBytes(double, encoded)
-      else later(double.afterMs, () => { if (socket.writable) socket.write(doubleBytes(double, encoded)) })
+      if (double.when === 'with_next') pendingDuplicate = encodeDuplicate(double, encoded)
+      else enqueueAfter(double.afterMs, () => { if (socket.writable) socket.write(encodeDuplicate(double, encoded)) })
     }
 
-    function later (afterMs: number, act: () => void): void {
-      setTimeout(() => { turn = turn.then(act) }, afterMs).unref()
+    function enqueueAfter (afterMs: number, act: () => void): void {
+      setTimeout(() => { writeQueue = writeQueue.then(act) }, afterMs).unref()
     }
 
     const reader = createRequestReader({
       onHead: (head) => {
-        current = note(head, connection)
+        current = recordArrival(head, connection)
         if (!current.script.isEarly) return
-        const early = current
+        const exchange = current
         socket.pause()
-        turn = turn.then(() => play(early)).finally(() => socket.resume())
+        writeQueue = writeQueue.then(() => respond(exchange)).finally(() => socket.resume())
       },
       onRequest: (_, body) => {
         if (current === undefined) return
-        const whole = current
-        whole.arrival.sentRequest = digestOf(body)
-        if (!whole.script.isEarly) turn = turn.then(() => play(whole))
+        const exchange = current
+        exchange.arrival.sentRequest = digestOf(body)
+        if (!exchange.script.isEarly) writeQueue = writeQueue.then(() => respond(exchange))
       },
       onGarbage: (bytes) => { garbage.push(`${replicaId} connection ${connection}: ${bytes.subarray(0, 80).toString('latin1')}`) }
     })
@@ -157,23 +157,23 @@
   }
 }
 
-function endIdle (socket: Socket, { how }: ScriptIdleEnd): void {
+function endIdleConnection (socket: Socket, { how }: ScriptIdleEnd): void {
   if (!socket.writable) return
   if (how === 'fin') socket.end()
   else socket.resetAndDestroy()
 }
 
-function askedFor ({ headers, path }: RequestHead): AskedFor {
-  const own = OWN_CALLS.find(([prefix]) => path.startsWith(prefix))
-  if (own !== undefined) return own[1]
+function classifyRequest ({ headers, path }: RequestHead): AskedFor {
+  const controlCall = CONTROL_CALLS.find(([prefix]) => path.startsWith(prefix))
+  if (controlCall !== undefined) return controlCall[1]
   return headers.get('x-serving-stage') === 'prefill' ? 'prefill' : 'run'
 }
 
-function answerOf (script: AnswerScript, encoded: EncodedAnswer): SentAnswer {
+function createSentResponse (script: AnswerScript, encoded: EncodedResponse): SentResponse {
   const { cut, framing, status } = script
-  const answer: SentAnswer = { status, framing, isReset: cut?.how === 'reset', body: digestOf(encoded.body) }
+  const answer: SentResponse = { status, framing, isReset: cut?.how === 'reset', body: digestOf(encoded.body) }
   // Only a close-delimited response is still valid when an orderly close ends it early.
-  if (cut?.how !== 'fin' || !hasOpenEnd(framing)) return answer
+  if (cut?.how !== 'fin' || !isCloseDelimited(framing)) return answer
   const bodyBytes = Math.max(0, cutPosition(cut, encoded) - encoded.head.length)
   return { ...answer, sentBody: digestOf(encoded.body.subarray(0, bodyBytes)) }
 }
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersRequests.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersRequests.ts
@@ -40,7 +40,7 @@
   let bytes = 0
   let head: RequestHead | undefined
 
-  function take (count: number): Buffer {
+  function consume (count: number): Buffer {
     const all = Buffer.concat(chunks)
     const rest = all.subarray(count)
     chunks = rest.length > 0 ? [rest] : []
@@ -53,7 +53,7 @@
     chunks = [all]
     const end = all.indexOf(HEAD_END)
     if (end < 0) return false
-    const text = take(end + HEAD_END.length).toString('latin1')
+    const text = consume(end + HEAD_END.length).toString('latin1')
     head = parseHead(text)
     if (head === undefined) listener.onGarbage(Buffer.from(text, 'latin1'))
     else listener.onHead(head)
@@ -63,7 +63,7 @@
   function readBody (known: RequestHead): boolean {
     if (bytes < known.bodyBytes) return false
     head = undefined
-    listener.onRequest(known, take(known.bodyBytes))
+    listener.onRequest(known, consume(known.bodyBytes))
     return true
   }
 
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersResponses.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersResponses.ts
@@ -6,7 +6,7 @@
  */
 
 /** A response as its caller receives it. */
-export interface ReadAnswer {
+export interface ReceivedResponse {
   readonly status: number
   /** Values by lower-case name; a repeated header has several. */
   readonly headers: ReadonlyMap<string, readonly string[]>
@@ -24,20 +24,20 @@
    *
    * @param isOrderly - whether the connection was closed in an orderly way, as opposed to reset
    */
-  readonly finish: (isOrderly: boolean) => ReadAnswer
-  readonly answer: () => ReadAnswer
+  readonly finish: (isOrderly: boolean) => ReceivedResponse
+  readonly answer: () => ReceivedResponse
 }
 
 interface Head {
   readonly status: number
   readonly headers: ReadonlyMap<string, readonly string[]>
-  readonly framing: ReadAnswer['framing']
+  readonly framing: ReceivedResponse['framing']
   readonly bodyBytes: number
 }
 
 const HEAD_END = Buffer.from('\r\n\r\n')
 const LINE_END = Buffer.from('\r\n')
-const FIRST_FINAL_STATUS = 200
+const MIN_FINAL_STATUS = 200
 
 /**
  * Creates a parser.
@@ -51,7 +51,7 @@
   let bodyBytes = 0
   let isComplete = false
 
-  function keep (bytes: Buffer): void {
+  function appendBody (bytes: Buffer): void {
     body.push(bytes)
     bodyBytes += bytes.length
   }
@@ -61,14 +61,14 @@
     if (end < 0) return false
     const parsed = parseHead(rest.subarray(0, end).toString('latin1'))
     rest = rest.subarray(end + HEAD_END.length)
-    if (parsed.status >= FIRST_FINAL_STATUS || parsed.status === 0) head = parsed
+    if (parsed.status >= MIN_FINAL_STATUS || parsed.status === 0) head = parsed
     return true
   }
 
-  function readSized (size: number): void {
+  function readWithLength (size: number): void {
     const taken = rest.subarray(0, size - bodyBytes)
     rest = rest.subarray(taken.length)
-    keep(taken)
+    appendBody(taken)
     isComplete = bodyBytes === size
   }
 
@@ -78,23 +78,23 @@
     const size = Number.parseInt(rest.subarray(0, lineEnd).toString('latin1'), 16)
     const from = lineEnd + LINE_END.length
     if (rest.length < from + size + LINE_END.length) return false
-    keep(rest.subarray(from, from + size))
+    appendBody(rest.subarray(from, from + size))
     rest = rest.subarray(from + size + LINE_END.length)
     isComplete = size === 0
     return !isComplete
   }
 
   function readBody (known: Head): void {
-    if (known.framing === 'length') return readSized(known.bodyBytes)
+    if (known.framing === 'length') return readWithLength(known.bodyBytes)
     if (known.framing === 'chunked') {
       while (readChunk()) continue
       return
     }
-    keep(rest)
+    appendBody(rest)
     rest = Buffer.alloc(0)
   }
 
-  function answer (): ReadAnswer {
+  function answer (): ReceivedResponse {
     return { status: head?.status ?? 0, headers: head?.headers ?? new Map(), framing: head?.framing ?? 'length', body: Buffer.concat(body), isComplete }
   }
 
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersScene.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersScene.ts
@@ -19,12 +19,12 @@
 export type AnswersKind = 'booking' | 'brief' | 'rate' | 'summary'
 
 /** Id, address and pool of a replica; plain replicas have no stage. */
-export interface ScenePlace extends ReplicaPlace {
+export interface StagedReplicaPlace extends ReplicaPlace {
   readonly stage?: 'decode' | 'prefill'
 }
 
 /** A running entry. */
-export interface AnswersScene {
+export interface AnswersEntry {
   /** Address for callers. */
   readonly callers: { readonly host: string, readonly port: number }
   /** Log lines of the entry. */
@@ -53,7 +53,7 @@
 }
 
 /** Replicas: plain ones, and both pools of a model. */
-export const SCENE_PLACES: readonly ScenePlace[] = [
+export const REPLICA_PLACES: readonly StagedReplicaPlace[] = [
   { replicaId: 'i-x', host: answersIp(21) },
   { replicaId: 'i-y', host: answersIp(22) },
   { replicaId: 'i-z', host: answersIp(23) },
@@ -72,7 +72,7 @@
  * @param fleet - addresses of the same replicas, in the same order
  * @returns the entry once it reports ready or the polls for that are used up
  */
-export async function startAnswersScene (places: readonly ScenePlace[], fleet: Pick<AnswersFleet, 'addresses'>): Promise<AnswersScene> {
+export async function startAnswersEntry (places: readonly StagedReplicaPlace[], fleet: Pick<AnswersFleet, 'addresses'>): Promise<AnswersEntry> {
   const lines: string[] = []
   const store = await startFleetStore(answersIp(1))
   places.forEach(({ replicaId, stage }, index) => store.put(`servers/${replicaId}`, {
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersScript.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersScript.ts
@@ -69,7 +69,7 @@
 }
 
 /** Script of a response without faults. */
-export const SOUND_SCRIPT: AnswerScript = {
+export const DEFAULT_SCRIPT: AnswerScript = {
   status: 200,
   framing: 'length',
   connection: 'none',
@@ -93,7 +93,7 @@
  * @param framing - framing of the response
  * @returns true for framings without a length or chunks
  */
-export function hasOpenEnd (framing: ScriptFraming): boolean {
+export function isCloseDelimited (framing: ScriptFraming): boolean {
   return framing === 'connection' || framing === 'identity'
 }
 
@@ -104,7 +104,7 @@
  * @returns the differing fields as JSON
  */
 export function describeScript (script: AnswerScript): string {
-  const sound = SOUND_SCRIPT as unknown as Readonly<Record<string, unknown>>
-  const changed = Object.entries(script).filter(([name, value]) => value !== undefined && value !== sound[name])
+  const defaults = DEFAULT_SCRIPT as unknown as Readonly<Record<string, unknown>>
+  const changed = Object.entries(script).filter(([name, value]) => value !== undefined && value !== defaults[name])
   return JSON.stringify(Object.fromEntries(changed))
 }
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersStage.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersStage.ts
@@ -10,16 +10,16 @@
 import type { AnswersReplica, ScriptedRequest } from './BendfallFakesAnswersReplica.js'
 import { startAnswersReplica } from './BendfallFakesAnswersReplica.js'
 import type { AnswersKind } from './BendfallFakesAnswersScene.js'
-import { ANSWERS_HOST, SCENE_PLACES, startAnswersScene } from './BendfallFakesAnswersScene.js'
+import { ANSWERS_HOST, REPLICA_PLACES, startAnswersEntry } from './BendfallFakesAnswersScene.js'
 import type { AnswerScript } from './BendfallFakesAnswersScript.js'
-import { SOUND_SCRIPT } from './BendfallFakesAnswersScript.js'
+import { DEFAULT_SCRIPT } from './BendfallFakesAnswersScript.js'
 import type { Arrival } from './BendfallFakesAnswersTruth.js'
 
 /** Differences from a response without faults. */
 export type ScriptChange = Partial<AnswerScript>
 
 /** Replicas and scripts of the harness. */
-export interface StageOptions {
+export interface HarnessOptions {
   /** Ids of the replicas to start, out of `REPLICA_PLACES`; all when absent. */
   readonly replicaIds?: readonly string[]
   /** @returns how the response to a request differs from one without faults */
@@ -27,7 +27,7 @@
 }
 
 /** A running harness. */
-export interface AnswersStage {
+export interface AnswersHarness {
   /** Makes a call on a new connection. */
   readonly call: (kind: AnswersKind, requestId: string, change?: Partial<AnswersCall>) => Promise<CallOutcome>
   /** @returns all requests that reached replicas */
@@ -44,26 +44,26 @@
  * @param options - replicas and their scripts
  * @param run - test body with calls and checks
  */
-export async function onAnswersStage (options: StageOptions, play: (stage: AnswersStage) => Promise<void>): Promise<void> {
+export async function onAnswersStage (options: HarnessOptions, run: (harness: AnswersHarness) => Promise<void>): Promise<void> {
   const { replicaIds, scriptOf } = options
-  const places = SCENE_PLACES.filter(({ replicaId }) => replicaIds?.includes(replicaId) ?? true)
+  const places = REPLICA_PLACES.filter(({ replicaId }) => replicaIds?.includes(replicaId) ?? true)
   const replicas: AnswersReplica[] = []
   for (const place of places) {
-    replicas.push(await startAnswersReplica({ ...place, scriptOf: (request) => ({ ...SOUND_SCRIPT, ...scriptOf(request) }) }))
+    replicas.push(await startAnswersReplica({ ...place, scriptOf: (request) => ({ ...DEFAULT_SCRIPT, ...scriptOf(request) }) }))
   }
-  const scene = await startAnswersScene(places, { addresses: replicas.map(({ address }) => address) })
+  const entry = await startAnswersEntry(places, { addresses: replicas.map(({ address }) => address) })
   const records: CallRecord[] = []
   const arrivals = (): Arrival[] => replicas.flatMap((replica) => replica.truth().arrivals)
   try {
-    await play({
+    await run({
       arrivals,
       broken: () => {
         const garbage = replicas.flatMap((replica) => replica.truth().garbage)
-        return findViolations(records, { arrivals: arrivals(), garbage }).map(describe)
+        return findViolations(records, { arrivals: arrivals(), garbage }).map(describeViolation)
       },
       call: async (kind, requestId, change) => {
         const call = { ...callOf(kind, requestId), ...change }
-        const caller = createAnswersCaller(scene.callers)
+        const caller = createAnswersCaller(entry.callers)
         const outcome = await caller.call(call)
         caller.close()
         records.push({ kind, call, outcome })
@@ -71,12 +71,12 @@
       }
     })
   } finally {
-    await scene.close()
+    await entry.close()
     await Promise.all(replicas.map((replica) => replica.close()))
   }
 }
 
-function describe ({ detail, requestId, type }: Violation): string {
+function describeViolation ({ detail, requestId, type }: Violation): string {
   return `${type} ${requestId}: ${detail}`
 }
 
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersTruth.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersTruth.ts
@@ -7,7 +7,7 @@
 import type { AskedFor, ScriptFraming } from './BendfallFakesAnswersScript.js'
 
 /** A response as it was sent. */
-export interface SentAnswer {
+export interface SentResponse {
   readonly status: number
   readonly framing: ScriptFraming
   /** Whether the connection was reset after the last bytes. */
@@ -32,12 +32,12 @@
   /** Hold of memory that the request refers to. */
   readonly hold?: string
   /** Handle or hold issued in the response. */
-  readonly given?: string
+  readonly issued?: string
   /** Whether the replica ran the request instead of refusing it. */
   readonly hasRun: boolean
   readonly atMs: number
   readonly script: string
-  readonly answer: SentAnswer
+  readonly answer: SentResponse
   /** Digest of the request body; absent until the body is complete. */
   sentRequest?: string
 }
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersWorkerMain.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersWorkerMain.ts
@@ -12,8 +12,8 @@
 }
 
 const fleet = await startAnswersFleet(workerData as FleetPlan)
-parentPort?.on('message', (asked: 'close' | 'truth') => {
-  if (asked === 'truth') fleet.truth().then((truth) => parentPort?.postMessage(truth), rethrow)
+parentPort?.on('message', (command: 'close' | 'truth') => {
+  if (command === 'truth') fleet.truth().then((truth) => parentPort?.postMessage(truth), rethrow)
   else fleet.close().then(() => parentPort?.close(), rethrow)
 })
 parentPort?.postMessage(fleet.addresses)
