--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersEncode.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersEncode.ts
@@ -1,73 +1,73 @@
 /**
- * Bytes of scripted answers.
+ * Encodes scripted responses to bytes.
  *
  * @module
  */
 import type { AnswerScript, AskedFor } from './BendfallFakesAnswersScript.js'
 
-/** What an answer tells of its request. */
-export interface AnswerOf {
+/** Request-dependent content of a response. */
+export interface ResponseContext {
   readonly asked: AskedFor
-  /** As the request bore it. */
+  /** Id that the request carried. */
   readonly requestId?: string
   readonly replicaId: string
-  /** Number of the answer at its replica. */
+  /** Sequence number of the response at its replica. */
   readonly serial: number
-  /** Handle or hold that the answer gives. */
-  readonly given?: string
-  /** Events of a stream; absent for a plain answer. */
+  /** Handle or hold that the response issues. */
+  readonly issued?: string
+  /** Range of the events of a stream; absent for a plain response. */
   readonly events?: { readonly after: number, readonly last: number }
 }
 
-/** An answer as it goes out. */
-export interface EncodedAnswer {
+/** An encoded response. */
+export interface EncodedResponse {
   readonly head: Buffer
   /** Body with its framing. */
   readonly framed: Buffer
-  /** Body without it. */
+  /** Body without framing. */
   readonly body: Buffer
 }
 
 const REASONS: Readonly<Record<AnswerScript['status'], string>> = { 200: 'OK', 421: 'Misdirected Request', 429: 'Too Many Requests', 500: 'Internal Server Error', 503: 'Service Unavailable' }
 
-/** Statuses by which a replica says that it has not run the request. */
+/** Statuses with which a replica reports that it has not run the request. */
 const REFUSALS: ReadonlySet<number> = new Set([421, 429, 503])
 
-const NOTES: Readonly<Record<AnswerScript['note'], Buffer>> = {
+const NOTE_LINES: Readonly<Record<AnswerScript['note'], Buffer>> = {
   none: Buffer.alloc(0),
   ascii: Buffer.from('X-Note: plain\r\n'),
   latin1: Buffer.from('X-Note: r\u00e9pliqu\u00e9\r\n', 'latin1'),
   utf8: Buffer.from('X-Note: r\u00e9plique \u2713\r\n', 'utf8')
 }
 
-const CHUNKS = 3
+const CHUNK_COUNT = 3
 
-/** Values of the header that notes are in, as bytes. */
-export const ANSWER_NOTES: ReadonlySet<string> = new Set(Object.values(NOTES).map((line) => line.toString('latin1').slice('X-Note: '.length).trim()))
+/** Values of the note header, with one Latin-1 character per byte. */
+export const NOTE_VALUES: ReadonlySet<string> = new Set(Object.values(NOTE_LINES).map((line) => line.toString('latin1').slice('X-Note: '.length).trim()))
 
 /**
- * Tells whether a status says that the request was not run.
+ * Returns whether a status reports that the request was not run.
  *
- * @param status - of the answer
- * @returns whether it does
+ * @param status - HTTP status of the response
+ * @returns true for statuses that refuse a request
  */
 export function isRefusal (status: number): boolean {
   return REFUSALS.has(status)
 }
 
 /**
- * Encodes an answer.
+ * Encodes a response.
  *
- * @param script - how it is framed
- * @param of - what it answers
- * @returns the bytes
+ * @param script - status, headers and framing
+ * @param context - request-dependent content
+ * @returns head and body, with and without framing
  */
-export function encodeAnswer (script: AnswerScript, of: AnswerOf): EncodedAnswer {
-  const body = bodyOf(script, of)
-  return { head: headOf(script, of, body.length), framed: script.framing === 'chunked' ? inChunks(body) : body, body }
+export function encodeResponse (script: AnswerScript, context: ResponseContext): EncodedResponse {
+  const body = createBody(script, context)
+  return { head: encodeHead(script, context, body.length), framed: script.framing === 'chunked' ? encodeChunked(body) : body, body }
 }
 
-function headOf ({ connection, framing, isIdLast, note, status }: AnswerScript, { asked, replicaId, requestId }: AnswerOf, bodyBytes: number): Buffer {
+function encodeHead ({ connection, framing, isIdLast, note, status }: AnswerScript, { asked, replicaId, requestId }: ResponseContext, bodyBytes: number): Buffer {
   const id = requestId === undefined ? [] : [`X-Request-Id: ${requestId}`]
   const lines = [
     `HTTP/1.1 ${status} ${REASONS[status]}`,
@@ -81,21 +81,21 @@
     ...(framing === 'identity' ? ['Transfer-Encoding: identity'] : []),
     ...(isIdLast ? id : [])
   ]
-  return Buffer.concat([Buffer.from(`${lines.join('\r\n')}\r\n`), NOTES[note], Buffer.from('\r\n')])
+  return Buffer.concat([Buffer.from(`${lines.join('\r\n')}\r\n`), NOTE_LINES[note], Buffer.from('\r\n')])
 }
 
-function bodyOf (script: AnswerScript, of: AnswerOf): Buffer {
-  const { asked, events, given, replicaId, requestId, serial } = of
+function createBody (script: AnswerScript, context: ResponseContext): Buffer {
+  const { asked, events, issued, replicaId, requestId, serial } = context
   if (isRefusal(script.status)) return Buffer.from(`not run ${requestId ?? ''}`)
-  if (asked === 'prefill') return Buffer.from(JSON.stringify({ 'cache-handle': given, tokens: 1, version: 1 }))
-  if (asked === 'hold') return Buffer.from(JSON.stringify({ hold: given }))
+  if (asked === 'prefill') return Buffer.from(JSON.stringify({ 'cache-handle': issued, tokens: 1, version: 1 }))
+  if (asked === 'hold') return Buffer.from(JSON.stringify({ hold: issued }))
   if (asked !== 'run') return Buffer.from('{}')
-  if (events !== undefined && script.status === 200) return Buffer.from(eventsOf(script, requestId ?? '', events))
-  const first = `answer to ${requestId} by ${replicaId} ${serial}\n`
-  return Buffer.from(first.padEnd(script.bodyBytes, first))
+  if (events !== undefined && script.status === 200) return Buffer.from(encodeEvents(script, requestId ?? '', events))
+  const line = `answer to ${requestId} by ${replicaId} ${serial}\n`
+  return Buffer.from(line.padEnd(script.bodyBytes, line))
 }
 
-function eventsOf ({ bodyBytes, hasComments, isLastOpen, lineEnd }: AnswerScript, requestId: string, { after, last }: { readonly after: number, readonly last: number }): string {
+function encodeEvents ({ bodyBytes, hasComments, isLastOpen, lineEnd }: AnswerScript, requestId: string, { after, last }: { readonly after: number, readonly last: number }): string {
   const pad = 'x'.repeat(bodyBytes)
   let text = ''
   for (let id = after + 1; id <= last; id++) {
@@ -107,14 +107,14 @@
 }
 
 /**
- * Frames a body by chunks.
+ * Encodes a body with the chunked transfer coding.
  *
- * @param body - any
- * @returns chunks and the last one
+ * @param body - body to encode; may be empty
+ * @returns the chunks including the final empty one
  */
-export function inChunks (body: Buffer): Buffer {
+export function encodeChunked (body: Buffer): Buffer {
   const parts: Buffer[] = []
-  const size = Math.max(1, Math.ceil(body.length / CHUNKS))
+  const size = Math.max(1, Math.ceil(body.length / CHUNK_COUNT))
   for (let at = 0; at < body.length; at += size) {
     const chunk = body.subarray(at, at + size)
     parts.push(Buffer.from(`${chunk.length.toString(16)}\r\n`), chunk, Buffer.from('\r\n'))
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersFleet.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersFleet.ts
@@ -1,5 +1,5 @@
 /**
- * Scripted replicas of one seed, in this thread or in one of their own.
+ * Scripted replicas of one seed, in this thread or in a worker thread.
  *
  * @module
  */
@@ -8,29 +8,29 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { Worker } from 'node:worker_threads'
 import type { AnswerProfile } from './BendfallFakesAnswersProfiles.js'
-import { drawScript, drawStreamForm } from './BendfallFakesAnswersProfiles.js'
+import { drawScript, drawStreamFormat } from './BendfallFakesAnswersProfiles.js'
 import { createRandom } from './BendfallFakesAnswersRandom.js'
 import type { AnswersReplica, ScriptedRequest } from './BendfallFakesAnswersReplica.js'
 import { startAnswersReplica } from './BendfallFakesAnswersReplica.js'
 import type { AnswerScript } from './BendfallFakesAnswersScript.js'
 import type { AnswersTruth } from './BendfallFakesAnswersTruth.js'
 
-/** Place of a replica. */
+/** Id and address of a replica. */
 export interface ReplicaPlace {
   readonly replicaId: string
   readonly host: string
 }
 
-/** What is played. */
+/** Seed, profile and replicas of a run. */
 export interface FleetPlan {
   readonly seed: number
   readonly profile: AnswerProfile
   readonly places: readonly ReplicaPlace[]
 }
 
-/** Replicas that listen. */
+/** Listening replicas. */
 export interface AnswersFleet {
-  /** `ip:port` of each, in the order of their places. */
+  /** `ip:port` of each replica, in the order of the plan. */
   readonly addresses: readonly string[]
   readonly truth: () => Promise<AnswersTruth>
   readonly close: () => Promise<void>
@@ -38,18 +38,18 @@
 
 const WORKER_MODULE = new URL('./BendfallFakesAnswersWorkerMain.js', import.meta.url)
 const SEED_STEP = 1_000
-const LONGEST_CLOSE_MS = 2_000
+const MAX_CLOSE_MS = 2_000
 
 /**
  * Starts the replicas in this thread.
  *
- * @param plan - what is played
+ * @param plan - seed, profile and replicas
  * @returns the replicas once they listen
  */
 export async function startAnswersFleet (plan: FleetPlan): Promise<AnswersFleet> {
   const replicas: AnswersReplica[] = []
   for (const [index, place] of plan.places.entries()) {
-    replicas.push(await startAnswersReplica({ ...place, scriptOf: scriptsOf(plan, index) }))
+    replicas.push(await startAnswersReplica({ ...place, scriptOf: createScriptSource(plan, index) }))
   }
   return {
     addresses: replicas.map(({ address }) => address),
@@ -62,13 +62,13 @@
 }
 
 /**
- * Starts the replicas in a thread of their own, so that they go on writing
- * while the entry is busy.
+ * Starts the replicas in a worker thread, so that they continue to write
+ * while the entry's thread is blocked.
  *
- * @param plan - what is played
+ * @param plan - seed, profile and replicas
  * @returns the replicas once they listen
  */
-export async function startAnswersFleetApart (plan: FleetPlan): Promise<AnswersFleet> {
+export async function startAnswersFleetInWorker (plan: FleetPlan): Promise<AnswersFleet> {
   const worker = new Worker(WORKER_MODULE, { workerData: plan })
   const next = <T>(): Promise<T> => new Promise((resolve, reject) => {
     worker.once('message', resolve)
@@ -82,23 +82,23 @@
       return next<AnswersTruth>()
     },
     close: async () => {
-      // A thread that is terminated with connections half closed may never end.
+      // Terminating a worker that has half-closed connections may never complete.
       const exited = once(worker, 'exit')
       worker.postMessage('close')
-      await Promise.race([exited, sleep(LONGEST_CLOSE_MS)])
+      await Promise.race([exited, sleep(MAX_CLOSE_MS)])
       worker.unref()
     }
   }
 }
 
-function scriptsOf ({ profile, seed }: FleetPlan, index: number): (request: ScriptedRequest) => AnswerScript {
+function createScriptSource ({ profile, seed }: FleetPlan, index: number): (request: ScriptedRequest) => AnswerScript {
   const random = createRandom(seed * SEED_STEP + index)
   return ({ asked, isStream, requestId }) => {
     const script = drawScript(random, profile, asked)
-    return isStream ? { ...script, ...drawStreamForm(createRandom(seedOf(requestId)), profile) } : script
+    return isStream ? { ...script, ...drawStreamFormat(createRandom(hashSeed(requestId)), profile) } : script
   }
 }
 
-function seedOf (requestId: string): number {
+function hashSeed (requestId: string): number {
   return createHash('sha1').update(requestId).digest().readUInt32BE()
 }
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersFuzz.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersFuzz.ts
@@ -1,71 +1,71 @@
 /**
- * Fuzzer of the replicas' side: callers on kept connections, an entry that may
- * be busy, replicas that frame, break off and double their answers by a seed.
+ * Fuzzer for the responses of replicas: callers on persistent connections, an entry whose event loop may
+ * be blocked, and replicas that vary the framing of responses, cut them off and duplicate them by a seed.
  *
  * @module
  */
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { AnswersCall, AnswersCaller } from './BendfallFakesAnswersCaller.js'
 import { createAnswersCaller } from './BendfallFakesAnswersCaller.js'
-import { startAnswersFleet, startAnswersFleetApart } from './BendfallFakesAnswersFleet.js'
+import { startAnswersFleet, startAnswersFleetInWorker } from './BendfallFakesAnswersFleet.js'
 import type { CallRecord, Violation } from './BendfallFakesAnswersJudge.js'
 import { findViolations } from './BendfallFakesAnswersJudge.js'
 import type { AnswerProfile } from './BendfallFakesAnswersProfiles.js'
 import { ANSWER_PROFILES } from './BendfallFakesAnswersProfiles.js'
 import { createRandom } from './BendfallFakesAnswersRandom.js'
 import type { Random } from './BendfallFakesAnswersRandom.js'
-import { ANSWERS_HOST, SCENE_PLACES, startAnswersScene } from './BendfallFakesAnswersScene.js'
+import { ANSWERS_HOST, REPLICA_PLACES, startAnswersEntry } from './BendfallFakesAnswersScene.js'
 import type { AnswersKind } from './BendfallFakesAnswersScene.js'
 import type { AnswersTruth } from './BendfallFakesAnswersTruth.js'
 
-/** How a seed is played. */
+/** Parameters of the run of a seed. */
 export interface FuzzPlan {
   readonly seed: number
   readonly profile: AnswerProfile
-  /** Milliseconds of each ten for which the entry's thread is kept busy. */
+  /** Milliseconds out of each ten for which the entry's thread is blocked. */
   readonly busyMs: number
-  /** Whether the replicas have a thread of their own. */
-  readonly isApart: boolean
+  /** Whether the replicas run in a worker thread. */
+  readonly isInWorker: boolean
 }
 
-/** What a seed showed. */
+/** Result of the run of a seed. */
 export interface FuzzResult {
   readonly plan: FuzzPlan
   readonly calls: number
-  /** Calls by status and end. */
+  /** Number of calls by status and end. */
   readonly ends: Readonly<Record<string, number>>
   readonly violations: readonly Violation[]
-  /** Log lines of the entry on requests with violations. */
+  /** Log lines of the entry for requests with violations, and the arrivals on their connections. */
   readonly evidence: readonly string[]
 }
 
 const BUSY_MS = [0, 2, 5, 9] as const
 const BUSY_PERIOD_MS = 10
 const CALLERS = 8
-const CALLS_EACH = 30
-const LONGEST_MS = 4_000
+const CALLS_PER_CALLER = 30
+const MAX_DURATION_MS = 4_000
 
-/** The latest second answers are on their way this long. */
+/** Time until the latest duplicate responses have arrived. */
 const SETTLE_MS = 350
 
 const KINDS: readonly AnswersKind[] = ['booking', 'booking', 'brief', 'rate', 'rate', 'summary']
-/** Where the calls that the entry makes for itself fail, requests are those that need them. */
-const OWN_KINDS: readonly AnswersKind[] = ['brief', 'summary']
+/** Calls for which the entry makes control calls; the only ones in the profile whose control calls fail. */
+const CONTROL_CALL_KINDS: readonly AnswersKind[] = ['brief', 'summary']
 const PROMPT_KINDS: ReadonlySet<AnswersKind> = new Set(['brief', 'summary'])
 const REQUEST_BYTES = [0, 10, 3_000, 200_000, 600_000] as const
 const READ_PAUSES_MS = [0, 0, 0, 2, 10] as const
 const CALL_PAUSES_MS = [0, 0, 1, 10] as const
 const CHUNKED_SHARE = 0.3
-const LEAVING_SHARE = 0.03
-const LATEST_LEAVE_MS = 60
+const DISCONNECT_SHARE = 0.03
+const MAX_DISCONNECT_MS = 60
 const CALLER_SEED = 7_919
 
 /**
- * Tells how a seed is played: each in a row has another profile, and the load
- * changes from row to row.
+ * Derives the parameters of a seed: consecutive seeds cycle through the profiles, and the load
+ * changes after each cycle.
  *
- * @param seed - any whole number
- * @returns the plan
+ * @param seed - non-negative integer
+ * @returns the parameters
  */
 export function planOf (seed: number): FuzzPlan {
   const profiles = ANSWER_PROFILES.length
@@ -74,46 +74,46 @@
     seed,
     profile: ANSWER_PROFILES[seed % profiles] as AnswerProfile,
     busyMs: BUSY_MS[round % BUSY_MS.length] as number,
-    isApart: Math.floor(round / BUSY_MS.length) % 2 === 0
+    isInWorker: Math.floor(round / BUSY_MS.length) % 2 === 0
   }
 }
 
 /**
- * Plays a seed.
+ * Runs a seed.
  *
- * @param plan - how
- * @returns what it showed
+ * @param plan - parameters of the run
+ * @returns counts, violations and their evidence
  */
 export async function fuzzAnswers (plan: FuzzPlan): Promise<FuzzResult> {
   const crashes: Violation[] = []
-  const noteCrash = (error: unknown): void => { crashes.push({ type: 'crash', requestId: '', detail: error instanceof Error ? error.stack ?? error.message : String(error) }) }
-  process.on('uncaughtException', noteCrash)
-  const fleet = await (plan.isApart ? startAnswersFleetApart : startAnswersFleet)({ ...plan, places: SCENE_PLACES })
-  const scene = await startAnswersScene(SCENE_PLACES, fleet)
-  const callers = Array.from({ length: CALLERS }, () => createAnswersCaller(scene.callers))
-  const stopBusy = keepBusy(plan.busyMs)
+  const recordCrash = (error: unknown): void => { crashes.push({ type: 'crash', requestId: '', detail: error instanceof Error ? error.stack ?? error.message : String(error) }) }
+  process.on('uncaughtException', recordCrash)
+  const fleet = await (plan.isInWorker ? startAnswersFleetInWorker : startAnswersFleet)({ ...plan, places: REPLICA_PLACES })
+  const entry = await startAnswersEntry(REPLICA_PLACES, fleet)
+  const callers = Array.from({ length: CALLERS }, () => createAnswersCaller(entry.callers))
+  const stopBlocking = blockEventLoop(plan.busyMs)
   const records: CallRecord[] = []
   try {
-    const endsAtMs = performance.now() + LONGEST_MS
-    await Promise.all(callers.map((caller, index) => callOn(plan, index, caller, records, endsAtMs)))
+    const endsAtMs = performance.now() + MAX_DURATION_MS
+    await Promise.all(callers.map((caller, index) => runCaller(plan, index, caller, records, endsAtMs)))
     await sleep(SETTLE_MS)
-    stopBusy()
+    stopBlocking()
     const truth = await fleet.truth()
-    const violations = [...crashes, ...findViolations(records, truth), ...findUnasked(callers)]
-    return { plan, calls: records.length, ends: countEnds(records), violations, evidence: findEvidence(scene.lines, violations, truth) }
+    const violations = [...crashes, ...findViolations(records, truth), ...findUnsolicited(callers)]
+    return { plan, calls: records.length, ends: countEnds(records), violations, evidence: findEvidence(entry.lines, violations, truth) }
   } finally {
-    stopBusy()
+    stopBlocking()
     for (const caller of callers) caller.close()
-    await scene.close()
+    await entry.close()
     await fleet.close()
-    process.off('uncaughtException', noteCrash)
+    process.off('uncaughtException', recordCrash)
   }
 }
 
-async function callOn ({ profile, seed }: FuzzPlan, index: number, caller: AnswersCaller, records: CallRecord[], endsAtMs: number): Promise<void> {
+async function runCaller ({ profile, seed }: FuzzPlan, index: number, caller: AnswersCaller, records: CallRecord[], endsAtMs: number): Promise<void> {
   const random = createRandom(seed * CALLER_SEED + index)
-  for (let i = 0; i < CALLS_EACH && performance.now() < endsAtMs; i++) {
-    const kind = random.pick(profile === 'own_calls' ? OWN_KINDS : KINDS)
+  for (let i = 0; i < CALLS_PER_CALLER && performance.now() < endsAtMs; i++) {
+    const kind = random.pick(profile === 'own_calls' ? CONTROL_CALL_KINDS : KINDS)
     const call = drawCall(random, kind, `s${seed}-${index}-${i}`)
     records.push({ kind, call, outcome: await caller.call(call) })
     await sleep(random.pick(CALL_PAUSES_MS))
@@ -131,12 +131,12 @@
     body: Buffer.from(`${requestId} `.repeat(Math.ceil(bytes / (requestId.length + 1)))),
     isChunked: random.chance(CHUNKED_SHARE),
     readPauseMs: random.pick(READ_PAUSES_MS),
-    leavesAfterMs: random.chance(LEAVING_SHARE) ? random.whole(LATEST_LEAVE_MS) : undefined
+    leavesAfterMs: random.chance(DISCONNECT_SHARE) ? random.integer(MAX_DISCONNECT_MS) : undefined
   }
 }
 
-// What a loaded process does between two looks at its sockets.
-function keepBusy (busyMs: number): () => void {
+// Blocks the event loop periodically, as the load of a busy process does between two polls of its sockets.
+function blockEventLoop (busyMs: number): () => void {
   if (busyMs === 0) return () => {}
   const timer = setInterval(() => {
     const endsAtMs = performance.now() + busyMs
@@ -145,8 +145,8 @@
   return () => clearInterval(timer)
 }
 
-function findUnasked (callers: readonly AnswersCaller[]): Violation[] {
-  return callers.flatMap((caller) => caller.unasked()).map((detail) => ({ type: 'unasked_answer', requestId: '', detail }))
+function findUnsolicited (callers: readonly AnswersCaller[]): Violation[] {
+  return callers.flatMap((caller) => caller.unsolicited()).map((detail) => ({ type: 'unasked_answer', requestId: '', detail }))
 }
 
 function countEnds (records: readonly CallRecord[]): Readonly<Record<string, number>> {
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersRandom.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersRandom.ts
@@ -1,41 +1,41 @@
 /**
- * Seeded draws of the answer fuzzer.
+ * Seeded random numbers of the response fuzzer.
  *
  * @module
  */
 import { drawIndex } from 'bendfall-core'
 
-/** Draws that a seed repeats. */
+/** Deterministic random source. */
 export interface Random {
-  /** @returns a whole number from 0 to below `below` */
-  readonly whole: (below: number) => number
+  /** @returns an integer from 0 to `below` - 1 */
+  readonly integer: (below: number) => number
   /** @returns one of the items */
   readonly pick: <T>(items: readonly T[]) => T
   /** @returns true with this probability */
   readonly chance: (probability: number) => boolean
 }
 
-/** Steps of a probability. */
-const CHANCES = 10_000
+/** Resolution of probabilities. */
+const PROBABILITY_STEPS = 10_000
 
 /**
- * Makes the draws of a seed.
+ * Creates a random source.
  *
- * @param seed - of the draws
- * @returns the draws
+ * @param seed - seed that determines all values
+ * @returns the random source
  */
 export function createRandom (seed: number): Random {
   let state = seed
 
-  function whole (below: number): number {
+  function integer (below: number): number {
     const drawn = drawIndex(state, Math.max(1, below))
     state = drawn.seed
     return drawn.value
   }
 
   return {
-    whole,
-    pick: (items) => items[whole(items.length)] as (typeof items)[number],
-    chance: (probability) => whole(CHANCES) < probability * CHANCES
+    integer,
+    pick: (items) => items[integer(items.length)] as (typeof items)[number],
+    chance: (probability) => integer(PROBABILITY_STEPS) < probability * PROBABILITY_STEPS
   }
 }
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersRequests.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersRequests.ts
@@ -1,28 +1,28 @@
 /**
- * Reads requests from the bytes of a connection.
+ * Incremental parser for the requests on a connection.
  *
  * @module
  */
 
-/** A request whose head was read. */
+/** A parsed request head. */
 export interface RequestHead {
   readonly method: string
   readonly path: string
-  /** By name in lower case. */
+  /** Values by lower-case name. */
   readonly headers: ReadonlyMap<string, string>
   readonly bodyBytes: number
 }
 
-/** Reads requests. */
+/** Parser of one connection. */
 export interface RequestReader {
   readonly push: (chunk: Buffer) => void
 }
 
-/** Takes what is read. */
+/** Callbacks of the parser. */
 export interface RequestListener {
   readonly onHead: (head: RequestHead) => void
   readonly onRequest: (head: RequestHead, body: Buffer) => void
-  /** Bytes that are no request. */
+  /** Called with a head that is not a valid request. */
   readonly onGarbage: (bytes: Buffer) => void
 }
 
@@ -30,17 +30,17 @@
 const REQUEST_LINE = /^(GET|POST|DELETE|PUT) (\S+) HTTP\/1\.1$/
 
 /**
- * Makes a reader; bodies have a length.
+ * Creates a parser. Bodies must have a `Content-Length`.
  *
- * @param listener - takes what is read
- * @returns the reader
+ * @param listener - called for each parsed head and request
+ * @returns the parser
  */
 export function createRequestReader (listener: RequestListener): RequestReader {
   let chunks: Buffer[] = []
   let bytes = 0
   let head: RequestHead | undefined
 
-  function take (count: number): Buffer {
+  function consume (count: number): Buffer {
     const all = Buffer.concat(chunks)
     const rest = all.subarray(count)
     chunks = rest.length > 0 ? [rest] : []
@@ -53,7 +53,7 @@
     chunks = [all]
     const end = all.indexOf(HEAD_END)
     if (end < 0) return false
-    const text = take(end + HEAD_END.length).toString('latin1')
+    const text = consume(end + HEAD_END.length).toString('latin1')
     head = parseHead(text)
     if (head === undefined) listener.onGarbage(Buffer.from(text, 'latin1'))
     else listener.onHead(head)
@@ -63,7 +63,7 @@
   function readBody (known: RequestHead): boolean {
     if (bytes < known.bodyBytes) return false
     head = undefined
-    listener.onRequest(known, take(known.bodyBytes))
+    listener.onRequest(known, consume(known.bodyBytes))
     return true
   }
 
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersStage.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersStage.ts
@@ -1,5 +1,5 @@
 /**
- * An entry before replicas that answer by scripts of a test.
+ * Test harness: an entry with replicas that respond according to the scripts of a test.
  *
  * @module
  */
@@ -10,60 +10,60 @@
 import type { AnswersReplica, ScriptedRequest } from './BendfallFakesAnswersReplica.js'
 import { startAnswersReplica } from './BendfallFakesAnswersReplica.js'
 import type { AnswersKind } from './BendfallFakesAnswersScene.js'
-import { ANSWERS_HOST, SCENE_PLACES, startAnswersScene } from './BendfallFakesAnswersScene.js'
+import { ANSWERS_HOST, REPLICA_PLACES, startAnswersEntry } from './BendfallFakesAnswersScene.js'
 import type { AnswerScript } from './BendfallFakesAnswersScript.js'
-import { SOUND_SCRIPT } from './BendfallFakesAnswersScript.js'
+import { DEFAULT_SCRIPT } from './BendfallFakesAnswersScript.js'
 import type { Arrival } from './BendfallFakesAnswersTruth.js'
 
-/** Changes of a sound answer. */
+/** Differences from a response without faults. */
 export type ScriptChange = Partial<AnswerScript>
 
-/** What plays. */
-export interface StageOptions {
-  /** Replicas of the scene that play; all when absent. */
+/** Replicas and scripts of the harness. */
+export interface HarnessOptions {
+  /** Ids of the replicas to start, out of `REPLICA_PLACES`; all when absent. */
   readonly replicaIds?: readonly string[]
-  /** @returns how a request's answer differs from a sound one */
+  /** @returns how the response to a request differs from one without faults */
   readonly scriptOf: (request: ScriptedRequest) => ScriptChange
 }
 
-/** A stage. */
-export interface AnswersStage {
-  /** Calls on a connection of its own. */
+/** A running harness. */
+export interface AnswersHarness {
+  /** Makes a call on a new connection. */
   readonly call: (kind: AnswersKind, requestId: string, change?: Partial<AnswersCall>) => Promise<CallOutcome>
-  /** Requests that reached replicas. */
+  /** @returns all requests that reached replicas */
   readonly arrivals: () => readonly Arrival[]
-  /** Names of broken promises. */
+  /** @returns descriptions of the guarantees violated so far */
   readonly broken: () => readonly string[]
 }
 
 const PROMPT_KINDS: ReadonlySet<AnswersKind> = new Set(['brief', 'summary'])
 
 /**
- * Plays on a stage that is closed whatever happens.
+ * Starts a harness, runs a test with it and closes it, also when the test fails.
  *
  * @param options - replicas and their scripts
- * @param play - calls and checks
+ * @param run - test body with calls and checks
  */
-export async function onAnswersStage (options: StageOptions, play: (stage: AnswersStage) => Promise<void>): Promise<void> {
+export async function onAnswersStage (options: HarnessOptions, run: (harness: AnswersHarness) => Promise<void>): Promise<void> {
   const { replicaIds, scriptOf } = options
-  const places = SCENE_PLACES.filter(({ replicaId }) => replicaIds?.includes(replicaId) ?? true)
+  const places = REPLICA_PLACES.filter(({ replicaId }) => replicaIds?.includes(replicaId) ?? true)
   const replicas: AnswersReplica[] = []
   for (const place of places) {
-    replicas.push(await startAnswersReplica({ ...place, scriptOf: (request) => ({ ...SOUND_SCRIPT, ...scriptOf(request) }) }))
+    replicas.push(await startAnswersReplica({ ...place, scriptOf: (request) => ({ ...DEFAULT_SCRIPT, ...scriptOf(request) }) }))
   }
-  const scene = await startAnswersScene(places, { addresses: replicas.map(({ address }) => address) })
+  const entry = await startAnswersEntry(places, { addresses: replicas.map(({ address }) => address) })
   const records: CallRecord[] = []
   const arrivals = (): Arrival[] => replicas.flatMap((replica) => replica.truth().arrivals)
   try {
-    await play({
+    await run({
       arrivals,
       broken: () => {
         const garbage = replicas.flatMap((replica) => replica.truth().garbage)
-        return findViolations(records, { arrivals: arrivals(), garbage }).map(describe)
+        return findViolations(records, { arrivals: arrivals(), garbage }).map(describeViolation)
       },
       call: async (kind, requestId, change) => {
         const call = { ...callOf(kind, requestId), ...change }
-        const caller = createAnswersCaller(scene.callers)
+        const caller = createAnswersCaller(entry.callers)
         const outcome = await caller.call(call)
         caller.close()
         records.push({ kind, call, outcome })
@@ -71,12 +71,12 @@
       }
     })
   } finally {
-    await scene.close()
+    await entry.close()
     await Promise.all(replicas.map((replica) => replica.close()))
   }
 }
 
-function describe ({ detail, requestId, type }: Violation): string {
+function describeViolation ({ detail, requestId, type }: Violation): string {
   return `${type} ${requestId}: ${detail}`
 }
 
--- a/packages/bendfall-fakes/src/fleet/soak/BendfallFakesFleetSoak.ts
+++ b/packages/bendfall-fakes/src/fleet/soak/BendfallFakesFleetSoak.ts
@@ -1,29 +1,29 @@
 /**
- * Soak of the programs for the users' platform: processes under seeded faults
- * that come in series and overlap, and every answer judged.
+ * Soak test of the programs for the users' platform: runs them as processes under seeded, overlapping
+ * faults and checks every response and every request that reached a replica.
  *
  * @module
  */
 import { setTimeout as sleep } from 'node:timers/promises'
 import { createDraw } from '../../BendfallFakesClusterFaults.js'
 import type { Draw } from '../../BendfallFakesClusterFaults.js'
-import { call, findWrongAnswer } from './BendfallFakesFleetCaller.js'
+import { call, findResponseViolation } from './BendfallFakesFleetCaller.js'
 import type { CallKind, CallRecord } from './BendfallFakesFleetCaller.js'
 import type { SeenOrder } from '../BendfallFakesFleetReplica.js'
-import { ALL_FAULTS, CUSTOMER_FAULTS, DRILL_FAULTS, inflict, LEAVING_FAULTS, LIMIT_FAULTS, NOTICE_FAULTS } from './BendfallFakesSoakFaults.js'
-import { createSoakCustomers, findWrittenKeys, STEADY_KEY } from './BendfallFakesSoakCustomers.js'
+import { ALL_FAULTS, CUSTOMER_FAULTS, DRILL_FAULTS, injectFault, LEAVING_FAULTS, LIMIT_FAULTS, NOTICE_FAULTS } from './BendfallFakesSoakFaults.js'
+import { createSoakCustomers, findLeakedKeys, STEADY_KEY } from './BendfallFakesSoakCustomers.js'
 import { POISON_PATH, SOAK_EVENTS, SOAK_HOST, startSoakFleet } from './BendfallFakesSoakFleet.js'
 import type { SoakFleet } from './BendfallFakesSoakFleet.js'
-import { findCrashFaults, findInBackoff, findLateToLeaving } from './BendfallFakesSoakNotices.js'
+import { findCrashViolations, findExcessInBackoff, findLateToLeaving } from './BendfallFakesSoakNotices.js'
 import { findOverLimit } from './BendfallFakesSoakLimits.js'
-import type { IsEntryCalm } from './BendfallFakesSoakLimits.js'
-import type { IsCalm, NoticeEvidence } from './BendfallFakesSoakNotices.js'
+import type { IsEntryUndisturbed } from './BendfallFakesSoakLimits.js'
+import type { IsUndisturbed, NoticeEvidence } from './BendfallFakesSoakNotices.js'
 
 /**
- * Faults that a soak draws from: all, a store that comes back from older copies, what
- * replicas say of themselves beside a request that ends each replica which runs it, limits
- * that replicas name on the requests of all entries together, or
- * customers whose keys come and go and of whom one asks for more than its limit.
+ * Set of faults that a soak draws from: `faults` for general faults, `drills` for a store restored
+ * from backups, `notices` for replicas that report that they leave or back off while a request crashes each
+ * replica that runs it, `limits` for limits that replicas advertise on the total request rate of all entries,
+ * `customers` for API keys that are revoked and reissued and a customer that exceeds its limit.
  */
 export type SoakPlan = 'customers' | 'faults' | 'drills' | 'limits' | 'notices'
 
@@ -32,11 +32,11 @@
   readonly calls: number
   readonly answered: number
   readonly refused: number
-  /** Orders that reached replicas. */
+  /** Number of stage orders that reached replicas. */
   readonly orders: number
   readonly faults: readonly string[]
   readonly violations: readonly string[]
-  /** Log lines of the processes that tell of them; empty without violations. */
+  /** Log lines of the processes that relate to the violations; empty without violations. */
   readonly evidence: readonly string[]
 }
 
@@ -46,77 +46,79 @@
   readonly untilMs: number
 }
 
-/** Time after which a replica that leaves must get no new work, and slack of a busy machine. */
+/** Time after which a leaving replica must receive no new requests. */
 const DRAIN_MS = 2_000
+
+/** Tolerance for scheduling delays on a busy machine. */
 const SLACK_MS = 300
 
-/** Entries are held to it once the store, their way to it and themselves were undisturbed for this long. */
-const CALM_MS = 3_000
+/** Late arrivals count only after no fault has affected the store, the path to it or the entry for this long. */
+const UNDISTURBED_MS = 3_000
 
-/** Faults that excuse an entry; connections that fall silent don't. */
-const EXCUSING = /^(kill|pause|terminate) entry|^proxy|^store/
+/** Faults during which late arrivals don't count; stalled connections are no excuse. */
+const EXCUSING_FAULTS = /^(kill|pause|terminate) entry|^proxy|^store/
 
-/** Faults that excuse one entry from a limit. */
-const ENDING = /^(kill|pause|terminate) /
+/** Faults of a single entry, during which its arrivals don't count towards a limit. */
+const ENTRY_FAULTS = /^(kill|pause|terminate) /
 
 const KINDS: readonly CallKind[] = ['booking', 'brief', 'rate', 'summary']
 const CALLERS = 8
 
-/** Enough that each entry asks each replica several times a second, so that one request too many shows. */
-const NOTICE_CALLERS = 32
+/** Enough callers that each entry calls each replica several times a second, so that one excess request shows. */
+const HIGH_LOAD_CALLERS = 32
 
-/** Plans whose verdicts need them. */
-const MANY_CALLERS: ReadonlySet<SoakPlan> = new Set(['limits', 'notices'])
+/** Plans whose checks need this many callers. */
+const HIGH_LOAD_PLANS: ReadonlySet<SoakPlan> = new Set(['limits', 'notices'])
 
 const CALL_PAUSE_MS = 30
 const POISON_PAUSE_MS = 300
 const FAULT_SERIES = 2
-const REST_MS = [100, 400, 1_000] as const
-const LEAVING_EVERY = 3
+const FAULT_PAUSES_MS = [100, 400, 1_000] as const
+const LEAVING_SEED_STEP = 3
 const RECOVERY_MS = 6_000
-const FREE_MS = 3_000
-const PROOF_CALLS = 12
+const RELEASE_MS = 3_000
+const RECOVERY_CALLS = 12
 
-/** Statuses that promise that a request has not run. */
+/** Statuses that guarantee that a request has not run. */
 const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503])
 
-/** Kinds that run once at most. */
-const ONCE: ReadonlySet<CallKind> = new Set(['booking', 'summary'])
+/** Kinds of calls that run at most once. */
+const AT_MOST_ONCE: ReadonlySet<CallKind> = new Set(['booking', 'summary'])
 
-// In a third of the seeds no fault excuses a late send to a replica that leaves.
-const FAULTS_OF: Readonly<Record<SoakPlan, (seed: number) => readonly string[]>> = {
+// A third of the seeds draw only faults that excuse no late request to a leaving replica.
+const FAULTS_BY_PLAN: Readonly<Record<SoakPlan, (seed: number) => readonly string[]>> = {
   customers: () => CUSTOMER_FAULTS,
   drills: () => DRILL_FAULTS,
   limits: () => LIMIT_FAULTS,
-  faults: (seed) => seed % LEAVING_EVERY === 0 ? LEAVING_FAULTS : ALL_FAULTS,
+  faults: (seed) => seed % LEAVING_SEED_STEP === 0 ? LEAVING_FAULTS : ALL_FAULTS,
   notices: () => NOTICE_FAULTS
 }
 
 /**
  * Runs a soak.
  *
- * @param seed - of faults and callers
- * @param seconds - time under faults
- * @param plan - faults that it draws from
- * @returns what was seen
+ * @param seed - seed of the random faults and calls
+ * @param seconds - time during which faults are injected
+ * @param plan - set of faults to draw from
+ * @returns counts, violations and their evidence
  */
 export async function soakFleet (seed: number, seconds: number, plan: SoakPlan = 'faults'): Promise<SoakResult> {
   const fleet = await startSoakFleet(plan === 'customers' ? createSoakCustomers() : undefined)
   const records: CallRecord[] = []
   const faults: SoakFault[] = []
-  const names = FAULTS_OF[plan](seed)
+  const names = FAULTS_BY_PLAN[plan](seed)
   try {
-    await untilServed(fleet, seed)
+    await waitUntilServed(fleet, seed)
     const endsAtMs = performance.now() + seconds * 1_000
     const isOver = (): boolean => performance.now() >= endsAtMs
     await Promise.all([
-      ...Array.from({ length: MANY_CALLERS.has(plan) ? NOTICE_CALLERS : CALLERS }, (_, index) => callOn(fleet, `${seed}-${index}`, createDraw(seed * CALLERS + index), records, isOver)),
-      ...(plan === 'notices' ? [poisonOn(fleet, seed, records, isOver)] : []),
-      ...Array.from({ length: FAULT_SERIES }, (_, index) => harmOn(fleet, createDraw(seed * FAULT_SERIES + index), names, faults, isOver))
+      ...Array.from({ length: HIGH_LOAD_PLANS.has(plan) ? HIGH_LOAD_CALLERS : CALLERS }, (_, index) => runCaller(fleet, `${seed}-${index}`, createDraw(seed * CALLERS + index), records, isOver)),
+      ...(plan === 'notices' ? [sendPoison(fleet, seed, records, isOver)] : []),
+      ...Array.from({ length: FAULT_SERIES }, (_, index) => injectFaults(fleet, createDraw(seed * FAULT_SERIES + index), names, faults, isOver))
     ])
-    const evidence = { fleet, records, isCalm: createCalm(faults) }
-    const violations = [...findViolations(fleet, records), ...findCustomerFaults(fleet, records), ...findLateArrivals(evidence), ...findLateToLeaving(evidence), ...findInBackoff(evidence), ...findCrashFaults(evidence), ...findOverLimit(fleet, records, createEntryCalm(fleet, faults)), ...findFenceFaults(fleet.models.flatMap(({ replica }) => replica.orders)), ...await findUnrecovered(fleet, seed), ...await findHeld(fleet)]
-    const answered = records.filter(({ isWhole, status }) => status === 200 && isWhole).length
+    const evidence = { fleet, records, isUndisturbed: createUndisturbedCheck(faults) }
+    const violations = [...findViolations(fleet, records), ...findCustomerViolations(fleet, records), ...findLateArrivals(evidence), ...findLateToLeaving(evidence), ...findExcessInBackoff(evidence), ...findCrashViolations(evidence), ...findOverLimit(fleet, records, createEntryUndisturbedCheck(fleet, faults)), ...findFenceFaults(fleet.models.flatMap(({ replica }) => replica.orders)), ...await findUnrecovered(fleet, seed), ...await findUnreleased(fleet)]
+    const answered = records.filter(({ isComplete, status }) => status === 200 && isComplete).length
     const refused = records.filter(({ status }) => NOT_RUN_STATUSES.has(status)).length
     const orders = fleet.models.reduce((sum, { replica }) => sum + replica.orders.length, 0)
     return { calls: records.length, answered, refused, orders, faults: faults.map(describeFault), violations, evidence: findEvidence(fleet, violations) }
@@ -125,7 +127,7 @@
   }
 }
 
-async function callOn (fleet: SoakFleet, name: string, draw: Draw, records: CallRecord[], isOver: () => boolean): Promise<void> {
+async function runCaller (fleet: SoakFleet, name: string, draw: Draw, records: CallRecord[], isOver: () => boolean): Promise<void> {
   for (let i = 0; !isOver(); i++) {
     const entry = draw(fleet.entries)
     records.push(await call(entry, SOAK_HOST, { kind: draw(KINDS), requestId: `${name}-${i}`, key: fleet.customers?.drawKey(draw) }))
@@ -133,7 +135,7 @@
   }
 }
 
-async function poisonOn (fleet: SoakFleet, seed: number, records: CallRecord[], isOver: () => boolean): Promise<void> {
+async function sendPoison (fleet: SoakFleet, seed: number, records: CallRecord[], isOver: () => boolean): Promise<void> {
   const draw = createDraw(seed)
   for (let i = 0; !isOver(); i++) {
     records.push(await call(draw(fleet.entries), SOAK_HOST, { kind: 'rate', path: POISON_PATH, requestId: `poison-${seed}-${i}` }))
@@ -141,12 +143,12 @@
   }
 }
 
-async function harmOn (fleet: SoakFleet, draw: Draw, names: readonly string[], faults: SoakFault[], isOver: () => boolean): Promise<void> {
+async function injectFaults (fleet: SoakFleet, draw: Draw, names: readonly string[], faults: SoakFault[], isOver: () => boolean): Promise<void> {
   while (!isOver()) {
     const fromMs = performance.now()
-    const name = await inflict(fleet, draw, names)
+    const name = await injectFault(fleet, draw, names)
     faults.push({ name, fromMs, untilMs: performance.now() })
-    await sleep(draw(REST_MS))
+    await sleep(draw(FAULT_PAUSES_MS))
   }
 }
 
@@ -155,50 +157,50 @@
   return records.flatMap((record) => {
     const { kind, requestId, status } = record
     const ran = runs.get(requestId) ?? 0
-    const found = [findWrongAnswer(record, SOAK_EVENTS)]
-    if (ONCE.has(kind) && ran > 1) found.push(`${requestId}: ${kind} ran ${ran} times`)
-    if (NOT_RUN_STATUSES.has(status) && ONCE.has(kind) && ran > 0) found.push(`${requestId}: ${kind} refused with ${status} and ran`)
+    const found = [findResponseViolation(record, SOAK_EVENTS)]
+    if (AT_MOST_ONCE.has(kind) && ran > 1) found.push(`${requestId}: ${kind} ran ${ran} times`)
+    if (NOT_RUN_STATUSES.has(status) && AT_MOST_ONCE.has(kind) && ran > 0) found.push(`${requestId}: ${kind} refused with ${status} and ran`)
     return found.filter((one) => one !== undefined)
   })
 }
 
-function findCustomerFaults ({ customers, models, nodes, plain }: SoakFleet, records: readonly CallRecord[]): string[] {
+function findCustomerViolations ({ customers, models, nodes, plain }: SoakFleet, records: readonly CallRecord[]): string[] {
   if (customers === undefined) return []
   const runs = [...models, ...plain].flatMap(({ replica }) => replica.seen.filter(({ isRefused, kind }) => kind === 'run' && !isRefused))
-  return [...customers.judge(records, runs), ...findWrittenKeys(nodes.flatMap(({ process }) => process.lines))]
+  return [...customers.findViolations(records, runs), ...findLeakedKeys(nodes.flatMap(({ process }) => process.lines))]
 }
 
-function createCalm (faults: readonly SoakFault[]): IsCalm {
-  const excuses = faults.filter(({ name }) => EXCUSING.test(name))
-  return (atMs) => excuses.every(({ fromMs, untilMs }) => atMs < fromMs || atMs > untilMs + CALM_MS)
+function createUndisturbedCheck (faults: readonly SoakFault[]): IsUndisturbed {
+  const excuses = faults.filter(({ name }) => EXCUSING_FAULTS.test(name))
+  return (atMs) => excuses.every(({ fromMs, untilMs }) => atMs < fromMs || atMs > untilMs + UNDISTURBED_MS)
 }
 
-// A restart, a pause or a cut of an entry excuses that entry.
-function createEntryCalm ({ entries }: SoakFleet, faults: readonly SoakFault[]): IsEntryCalm {
-  const excuses = faults.filter(({ name }) => ENDING.test(name))
-  return (atMs, entry) => excuses.every(({ fromMs, name, untilMs }) => !name.endsWith(`entry-${entries.indexOf(entry)}`) || atMs < fromMs || atMs > untilMs + CALM_MS)
+// Killing, pausing or terminating an entry excuses only that entry.
+function createEntryUndisturbedCheck ({ entries }: SoakFleet, faults: readonly SoakFault[]): IsEntryUndisturbed {
+  const excuses = faults.filter(({ name }) => ENTRY_FAULTS.test(name))
+  return (atMs, entry) => excuses.every(({ fromMs, name, untilMs }) => !name.endsWith(`entry-${entries.indexOf(entry)}`) || atMs < fromMs || atMs > untilMs + UNDISTURBED_MS)
 }
 
-// A replica that leaves gets no new work after the drain time.
-function findLateArrivals ({ fleet: { away }, isCalm }: NoticeEvidence): string[] {
-  return away.flatMap(({ fromMs, replica, untilMs = Infinity }) => replica.seen
-    .filter(({ atMs }) => atMs > fromMs + DRAIN_MS + SLACK_MS && atMs < untilMs && isCalm(atMs))
-    .map(({ atMs, requestId }) => `${requestId} reached ${replica.address} ${Math.round(atMs - fromMs)} ms after it left (at ${Math.round(atMs)}, wall ${new Date(performance.timeOrigin + atMs).toISOString()})`))
+// A leaving replica must receive no new requests after the drain time.
+function findLateArrivals ({ fleet: { absences }, isUndisturbed }: NoticeEvidence): string[] {
+  return absences.flatMap(({ fromMs, replica, untilMs = Infinity }) => replica.seen
+    .filter(({ atMs }) => atMs > fromMs + DRAIN_MS + SLACK_MS && atMs < untilMs && isUndisturbed(atMs))
+    .map(({ atMs, requestId }) => `${requestId} reached ${replica.address} ${Math.round(atMs - fromMs)} ms after it started to leave (at ${Math.round(atMs)}, wall ${new Date(performance.timeOrigin + atMs).toISOString()})`))
 }
 
 /**
- * Finds orders of two holders at a time, and fences that did not rise.
+ * Finds orders in which two leaders used the same fencing token or a lower token followed a higher one.
  *
- * @param orders - as they arrived at all replicas
- * @returns a line for each
+ * @param orders - orders that arrived at all replicas, in any order
+ * @returns one line per violation
  */
 export function findFenceFaults (orders: readonly SeenOrder[]): string[] {
   const holders = new Map<number, string>()
   let highest = 0
   return [...orders].sort((one, other) => one.atMs - other.atMs).flatMap(({ atMs, fence, holder }) => {
     const found: string[] = []
-    const former = holders.get(fence)
-    if (former !== undefined && former !== holder) found.push(`fence ${fence} of ${former} was used by ${holder} at ${Math.round(atMs)}`)
+    const previous = holders.get(fence)
+    if (previous !== undefined && previous !== holder) found.push(`fence ${fence} of ${previous} was used by ${holder} at ${Math.round(atMs)}`)
     if (fence < highest) found.push(`${holder} ordered with fence ${fence} at ${Math.round(atMs)}, behind ${highest} of ${holders.get(highest)}`)
     holders.set(fence, holder)
     highest = Math.max(highest, fence)
@@ -210,14 +212,14 @@
   return `${name} ${Math.round(fromMs)}-${Math.round(untilMs)}`
 }
 
-/** Lines on what an entry knows of replicas and of the service that tells it. */
+/** Log lines about an entry's view of replicas and its connection to the store. */
 const MEMBERSHIP_EVENTS = /event=(replica_|registrations_|directory_|store_|started|stop|duty_|keeper|permits_)/
 
 function findEvidence ({ nodes }: SoakFleet, violations: readonly string[]): string[] {
   if (violations.length === 0) return []
   const requestIds = violations.map((violation) => violation.split(/[ :]/, 1)[0] ?? '')
-  const tells = (line: string): boolean => MEMBERSHIP_EVENTS.test(line) || requestIds.some((requestId) => line.includes(`request=${requestId} `))
-  return nodes.flatMap(({ process }) => process.lines.filter(tells)).sort()
+  const isRelevant = (line: string): boolean => MEMBERSHIP_EVENTS.test(line) || requestIds.some((requestId) => line.includes(`request=${requestId} `))
+  return nodes.flatMap(({ process }) => process.lines.filter(isRelevant)).sort()
 }
 
 function countRuns ({ models, plain }: SoakFleet): ReadonlyMap<string, number> {
@@ -231,25 +233,25 @@
 }
 
 async function isServed (fleet: SoakFleet, entry: string, kind: CallKind, requestId: string): Promise<boolean> {
-  const { isWhole, status } = await call(entry, SOAK_HOST, { kind, requestId, key: fleet.customers === undefined ? undefined : STEADY_KEY })
-  return status === 200 && isWhole
+  const { isComplete, status } = await call(entry, SOAK_HOST, { kind, requestId, key: fleet.customers === undefined ? undefined : STEADY_KEY })
+  return status === 200 && isComplete
 }
 
-async function untilServed (fleet: SoakFleet, seed: number): Promise<void> {
+async function waitUntilServed (fleet: SoakFleet, seed: number): Promise<void> {
   for (const entry of fleet.entries) {
     for (let i = 0; !await isServed(fleet, entry, 'summary', `first-${seed}-${entry}-${i}`); i++) {
-      if (i === 100) throw new Error(`${entry} serves nothing at the start`)
+      if (i === 100) throw new Error(`${entry} serves no request after the start of the fleet`)
       await sleep(50)
     }
   }
 }
 
-// After the faults every kind is served again at every entry.
+// After the last fault every entry must serve calls again.
 async function findUnrecovered (fleet: SoakFleet, seed: number): Promise<string[]> {
   for (const { replica } of [...fleet.models, ...fleet.plain]) replica.heal()
   await sleep(RECOVERY_MS)
   const unserved: string[] = []
-  for (let i = 0; i < PROOF_CALLS; i++) {
+  for (let i = 0; i < RECOVERY_CALLS; i++) {
     const entry = fleet.entries[i % fleet.entries.length] as string
     const kind = KINDS[i % KINDS.length] as CallKind
     const requestId = `last-${seed}-${i}`
@@ -258,8 +260,8 @@
   return unserved
 }
 
-// No replica works for a caller that is gone.
-async function findHeld ({ models }: SoakFleet): Promise<string[]> {
-  await sleep(FREE_MS)
+// No replica may still run a request whose caller has left.
+async function findUnreleased ({ models }: SoakFleet): Promise<string[]> {
+  await sleep(RELEASE_MS)
   return models.filter(({ replica }) => replica.running() > 0).map(({ replica }) => `${replica.address} still runs ${replica.running()} requests`)
 }
--- a/packages/bendfall-fakes/src/fleet/soak/BendfallFakesSoakCustomers.ts
+++ b/packages/bendfall-fakes/src/fleet/soak/BendfallFakesSoakCustomers.ts
@@ -1,6 +1,6 @@
 /**
- * Customers of the soak: their keys, which are taken away, given back and moved, and what
- * replicas may run for them.
+ * Customers of the soak: revokes, reissues and reassigns their API keys, and checks that replicas run
+ * only what the keys and limits allow.
  *
  * @module
  */
@@ -8,121 +8,125 @@
 import type { SeenRequest } from '../BendfallFakesFleetReplica.js'
 import type { CallRecord } from './BendfallFakesFleetCaller.js'
 
-/** Begins all keys, so that one search finds any of them. */
-const KEY_MARK = 'soak-key-'
+/** Common prefix of all keys, so that one search finds any of them. */
+const KEY_PREFIX = 'soak-key-'
 
-/** Time after which a key that was taken away opens nothing. */
+/** Time after which a revoked key must be rejected. */
 export const SOAK_REVOKED_WITHIN_MS = 2_000
 
-/** What customers may use beyond their allotments. */
+/** Tolerances for use beyond an allotment. */
 export const SOAK_ALLOTMENTS = { windowMs: 4_000, overShare: 0.1, slackUnits: 8_000 }
 
-/** Of the customer that asks for more than its limit. */
+/** Limit of the customer that exceeds it. */
 const LIMIT = { unit: 'token_stream', 'uncached-tokens': 200, 'rate-per-s': 3_000, burst: 3_000 }
 const FLOODING = 'flooding'
 
-/** Never taken away: what is served after the faults is asked with it. */
-export const STEADY_KEY = `${KEY_MARK}steady`
+/** Key that is never revoked; the calls after the faults use it. */
+export const STEADY_KEY = `${KEY_PREFIX}steady`
 
 const CUSTOMERS = ['steady', 'moving', FLOODING] as const
 type CustomerName = (typeof CUSTOMERS)[number]
 
-const FIRST_HOLDERS: Readonly<Record<string, CustomerName>> = {
+const INITIAL_CUSTOMERS: Readonly<Record<string, CustomerName>> = {
   [STEADY_KEY]: 'steady',
-  [`${KEY_MARK}1`]: 'moving',
-  [`${KEY_MARK}2`]: 'moving',
-  [`${KEY_MARK}3`]: FLOODING,
-  [`${KEY_MARK}4`]: FLOODING
+  [`${KEY_PREFIX}1`]: 'moving',
+  [`${KEY_PREFIX}2`]: 'moving',
+  [`${KEY_PREFIX}3`]: FLOODING,
+  [`${KEY_PREFIX}4`]: FLOODING
 }
 
-const UNKNOWN_KEY = `${KEY_MARK}unknown`
+const UNKNOWN_KEY = `${KEY_PREFIX}unknown`
 
-/** Time in which a customer had a key. */
-interface Holding {
+/** Period in which a key belonged to a customer. */
+interface KeyAssignment {
   readonly key: string
   readonly customer: CustomerName
   readonly fromMs: number
   untilMs: number
 }
 
-/** Customers and the history of their keys. */
+/** Customers and the assignment history of their keys. */
 export interface SoakCustomers {
-  /** @returns them as operators write them */
+  /** @returns the customers in the format of the configuration */
   readonly tenants: () => object[]
-  /** Takes a key away, gives it back or moves it. */
+  /**
+   * Revokes, reissues or reassigns a drawn key.
+   *
+   * @returns the change, for the list of faults
+   */
   readonly change: (draw: Draw) => string
-  /** Gives all keys back. */
+  /** Returns all keys to their initial customers. */
   readonly restore: () => void
   readonly drawKey: (draw: Draw) => string
   /**
-   * Finds runs that keys did not open, keys that were passed on, and runs beyond a limit.
+   * Finds runs without a valid key, keys that were forwarded to replicas, and runs beyond a limit.
    *
-   * @param records - of all callers
-   * @param runs - as replicas saw them
-   * @returns a line for each
+   * @param records - calls of all callers
+   * @param runs - requests that replicas ran
+   * @returns one line per violation
    */
-  readonly judge: (records: readonly CallRecord[], runs: readonly SeenRequest[]) => string[]
+  readonly findViolations: (records: readonly CallRecord[], runs: readonly SeenRequest[]) => string[]
 }
 
-/** @returns customers with all of their keys */
+/** @returns the customers, each with its initial keys */
 export function createSoakCustomers (): SoakCustomers {
-  const holdings: Holding[] = []
-  const holdingOf = (key: string): Holding | undefined => holdings.find((one) => one.key === key && one.untilMs === Infinity)
+  const assignments: KeyAssignment[] = []
+  const findCurrentAssignment = (key: string): KeyAssignment | undefined => assignments.find((one) => one.key === key && one.untilMs === Infinity)
 
-  function give (key: string, customer: CustomerName | undefined): void {
+  function assignKey (key: string, customer: CustomerName | undefined): void {
     const nowMs = performance.now()
-    const held = holdingOf(key)
-    if (held?.customer === customer) return
-    if (held !== undefined) held.untilMs = nowMs
-    if (customer !== undefined) holdings.push({ key, customer, fromMs: nowMs, untilMs: Infinity })
+    const current = findCurrentAssignment(key)
+    if (current?.customer === customer) return
+    if (current !== undefined) current.untilMs = nowMs
+    if (customer !== undefined) assignments.push({ key, customer, fromMs: nowMs, untilMs: Infinity })
   }
 
   function restore (): void {
-    for (const [key, customer] of Object.entries(FIRST_HOLDERS)) give(key, customer)
+    for (const [key, customer] of Object.entries(INITIAL_CUSTOMERS)) assignKey(key, customer)
   }
 
-  // A key may open for who had it when the call began, or within the bound before.
+  // A run is allowed for the customer that held the key when the call began or lost it within the revocation bound before.
   function mayRun ({ key = '', startedAtMs }: CallRecord, { atMs, headers }: SeenRequest): boolean {
-    return holdings.some((one) => one.key === key && one.customer === headers['x-tenant'] && one.fromMs <= atMs && startedAtMs <= one.untilMs + SOAK_REVOKED_WITHIN_MS)
+    return assignments.some((one) => one.key === key && one.customer === headers['x-tenant'] && one.fromMs <= atMs && startedAtMs <= one.untilMs + SOAK_REVOKED_WITHIN_MS)
   }
 
-  function judge (records: readonly CallRecord[], runs: readonly SeenRequest[]): string[] {
+  function findViolations (records: readonly CallRecord[], runs: readonly SeenRequest[]): string[] {
     const byId = new Map(records.map((record) => [record.requestId, record]))
     const wrong = runs.flatMap((run) => {
       const record = byId.get(run.requestId)
-      if (JSON.stringify(run.headers).includes(KEY_MARK)) return [`${run.requestId}: its key was passed on`]
+      if (JSON.stringify(run.headers).includes(KEY_PREFIX)) return [`${run.requestId}: its key was forwarded to a replica`]
       if (record === undefined || mayRun(record, run)) return []
-      return [`${run.requestId}: ran for ${run.headers['x-tenant']} at ${Math.round(run.atMs)}, its key had ${holdings.filter(({ key }) => key === record.key).map(({ customer, fromMs, untilMs }) => `${customer} ${Math.round(fromMs)}-${Math.round(untilMs)}`).join(', ')}`]
+      return [`${run.requestId}: ran for ${run.headers['x-tenant']} at ${Math.round(run.atMs)}; its key belonged to ${assignments.filter(({ key }) => key === record.key).map(({ customer, fromMs, untilMs }) => `${customer} ${Math.round(fromMs)}-${Math.round(untilMs)}`).join(', ')}`]
     })
     return [...wrong, ...findBeyondLimit(records, runs)]
   }
 
   restore()
   return {
-    tenants: () => CUSTOMERS.map((name) => ({ name, 'api-keys': holdings.filter(({ customer, untilMs }) => customer === name && untilMs === Infinity).map(({ key }) => key), ...(name === FLOODING ? LIMIT : {}) })),
+    tenants: () => CUSTOMERS.map((name) => ({ name, 'api-keys': assignments.filter(({ customer, untilMs }) => customer === name && untilMs === Infinity).map(({ key }) => key), ...(name === FLOODING ? LIMIT : {}) })),
     change: (draw) => {
-      const key = draw(Object.keys(FIRST_HOLDERS).filter((one) => one !== STEADY_KEY))
+      const key = draw(Object.keys(INITIAL_CUSTOMERS).filter((one) => one !== STEADY_KEY))
       const customer = draw([undefined, ...CUSTOMERS])
-      give(key, customer)
-      return `${key} to ${customer ?? 'nobody'}`
+      assignKey(key, customer)
+      return `${key} to ${customer ?? 'no customer'}`
     },
     restore,
-    drawKey: (draw) => draw([...Object.keys(FIRST_HOLDERS), `${KEY_MARK}3`, `${KEY_MARK}4`, UNKNOWN_KEY]),
-    judge
+    drawKey: (draw) => draw([...Object.keys(INITIAL_CUSTOMERS), `${KEY_PREFIX}3`, `${KEY_PREFIX}4`, UNKNOWN_KEY]),
+    findViolations
   }
 }
 
 /**
- * Finds keys in what processes wrote.
+ * Finds keys that leaked into the output of processes.
  *
- * @param lines - of all processes
- * @returns a line for each that has one
+ * @param lines - output lines of all processes
+ * @returns one line per leak
  */
-export function findWrittenKeys (lines: readonly string[]): string[] {
-  return lines.filter((line) => line.includes(KEY_MARK)).map((line) => `written: ${line}`)
+export function findLeakedKeys (lines: readonly string[]): string[] {
+  return lines.filter((line) => line.includes(KEY_PREFIX)).map((line) => `leaked key: ${line}`)
 }
 
-// Counted as the caller sent it and a replica ran it, both within the window.
+// Counts a request in a window only if both the call and the run at a replica lie within it.
 function findBeyondLimit (records: readonly CallRecord[], runs: readonly SeenRequest[]): string[] {
   const sentAtMs = new Map(records.map(({ requestId, startedAtMs }) => [requestId, startedAtMs]))
   const first = new Map<string, SeenRequest>()
--- a/packages/bendfall-fakes/src/fleet/soak/BendfallFakesSoakFleet.ts
+++ b/packages/bendfall-fakes/src/fleet/soak/BendfallFakesSoakFleet.ts
@@ -1,6 +1,6 @@
 /**
- * The fleet of the soak: bendfall's programs as processes, before stand-ins of
- * the users' platform that are reached through proxies.
+ * Fleet of the soak: bendfall's programs as processes, with stand-ins for the users' platform behind
+ * proxies that can inject connection faults.
  *
  * @module
  */
@@ -26,10 +26,10 @@
 /** Host of the routes. */
 export const SOAK_HOST = 'soak.example'
 
-/** Events of a stream: about half a second. */
+/** Number of events in a stream, which then takes about half a second. */
 export const SOAK_EVENTS = 24
 
-/** Path whose request ends each replica that runs it. */
+/** Path of the request that crashes each replica that runs it. */
 export const POISON_PATH = '/rate/poison'
 
 const EVENT_MS = 20
@@ -39,11 +39,11 @@
 const READY_PORT = 17_392
 const MAIN_MODULE = fileURLToPath(new URL('./BendfallPlatformMain.js', import.meta.resolve('bendfall')))
 
-/** A process of bendfall that is started again when it ends. */
+/** A restartable process of bendfall. */
 export interface SoakNode {
   readonly name: string
   process: ListeningProcess
-  /** Whether a fault ends it now. */
+  /** Whether a fault is ending and restarting the process. */
   isEnding: boolean
   readonly restart: () => Promise<void>
 }
@@ -53,53 +53,53 @@
   readonly replica: FleetReplica
   readonly proxy: FleetProxy
   readonly replicaId: string
-  /** Writes its registration; `none` removes it. */
+  /** Writes the registration; `none` removes it. */
   readonly register: (state: RegisteredState) => void
-  /** Writes its registration again as it last was, as its owner does after a restore. */
-  readonly writeAgain: () => void
+  /** Rewrites the last registration, as its owner does after a restore of the store. */
+  readonly rewriteRegistration: () => void
 }
 
-/** How a replica is registered. */
+/** State in the registration of a replica; `none` stands for no registration. */
 export type RegisteredState = 'ready' | 'draining' | 'none'
 
-/** Time in which a replica had said that it leaves, or was no longer registered. */
+/** Period in which a replica was registered as draining or not at all. */
 export interface Absence {
   readonly replica: FleetReplica
   readonly fromMs: number
-  /** Absent while it lasts. */
+  /** Absent while the period lasts. */
   untilMs: number | undefined
 }
 
-/** A word of a replica about itself: it leaves, or wants no request for a time. */
+/** A notice that a replica reports in response headers: it is leaving, or wants no requests for a time. */
 export interface SoakNotice {
   readonly replica: FleetReplica
   readonly kind: 'leaves' | 'backs_off'
   readonly fromMs: number
-  /** End of what it asks for; absent while it lasts. */
+  /** End of the period for which the notice holds; absent while it is unknown. */
   untilMs: number | undefined
 }
 
-/** The fleet. */
+/** A running fleet. */
 export interface SoakFleet {
   readonly notices: SoakNotice[]
-  /** Monotonic times at which replicas ended under the request that ends them. */
+  /** Monotonic times at which the crashing request ended replicas. */
   readonly crashes: readonly number[]
-  /** Absent where callers need no keys. */
+  /** Customers with API keys; absent where callers need none. */
   readonly customers?: SoakCustomers
-  /** Writes the configuration, as the operator does. */
+  /** Writes the configuration to the store, as the operator does. */
   readonly configure: () => void
-  readonly away: Absence[]
+  readonly absences: Absence[]
   readonly store: FleetStore
   readonly storeProxy: FleetProxy
   readonly models: readonly SoakReplica[]
   readonly plain: readonly SoakReplica[]
   readonly nodes: readonly SoakNode[]
-  /** `ip:port` of each entry for callers. */
+  /** `ip:port` at which each entry accepts callers. */
   readonly entries: readonly string[]
   readonly close: () => Promise<void>
 }
 
-/** Another replica is to read prompts than those that start so, so that each holder and each restart gives cause for an order. */
+/** Needs one more prefill replica than the fleet starts with, so that each new leader and each restart causes an order. */
 const POOL_INTENT: PoolIntent = { usualPrefillShare: 0.67, leastPrefillShare: 0.5, leastPrefillReplicas: 1, mostPrefillShare: 0.67 }
 
 const CONFIG = createFleetConfig({ host: SOAK_HOST, timeoutMs: 5_000, plain: { timeoutMs: 1_200, targetLatencyMs: 150 }, handleTtlS: 0.5, maxBodyBytes: 100_000 })
@@ -108,22 +108,22 @@
  * Starts the fleet: two entries, a prefill and two decode replicas with their
  * sidecars, and two plain replicas.
  *
- * @param customers - who have keys; absent: callers need none
- * @returns the fleet once all of it listens
+ * @param customers - customers with API keys; absent where callers need none
+ * @returns the fleet once all processes listen
  */
 export async function startSoakFleet (customers?: SoakCustomers): Promise<SoakFleet> {
   const folder = mkdtempSync(join(tmpdir(), 'bendfall-soak-'))
-  const store = await startFleetStore(ip(1))
+  const store = await startFleetStore(loopbackIp(1))
   const storeProxy = await startFleetProxy(store.address)
   const models: SoakReplica[] = []
   const crashes: number[] = []
-  const words = { away: [] as Absence[], notices: [] as SoakNotice[] }
+  const replicaNotices = { absences: [] as Absence[], notices: [] as SoakNotice[] }
   const onCrash = (replica: FleetReplica): void => {
     crashes.push(performance.now())
-    endWords(words, replica)
+    endNotices(replicaNotices, replica)
   }
-  for (const [index, stage] of (['prefill', 'decode', 'decode'] as const).entries()) models.push(await startReplica(store, ip(11 + index), `m${index}`, onCrash, stage))
-  const plain = [await startReplica(store, ip(21), 'a0', onCrash), await startReplica(store, ip(22), 'a1', onCrash), await startReplica(store, ip(23), 'a2', onCrash)]
+  for (const [index, stage] of (['prefill', 'decode', 'decode'] as const).entries()) models.push(await startReplica(store, loopbackIp(11 + index), `m${index}`, onCrash, stage))
+  const plain = [await startReplica(store, loopbackIp(21), 'a0', onCrash), await startReplica(store, loopbackIp(22), 'a1', onCrash), await startReplica(store, loopbackIp(23), 'a2', onCrash)]
   for (const one of [...models, ...plain]) one.register('ready')
   let version = 0
   const configure = (): void => {
@@ -134,13 +134,13 @@
   const poolsFile = join(folder, 'pools.json')
   writeFileSync(poolsFile, JSON.stringify({ intent: POOL_INTENT, confirmedDigest: digestPoolIntent(POOL_INTENT) }))
   const shared = { poolsFile, availabilityZone: 'a', peerPorts: [PEER_PORT, PEER_PORT + 9] as const, keyValueAddress: storeProxy.address, stopGraceS: 4, credentials: { revokedWithinMs: SOAK_REVOKED_WITHIN_MS }, allotments: SOAK_ALLOTMENTS }
-  const entryIps = [ip(2), ip(3)]
+  const entryIps = [loopbackIp(2), loopbackIp(3)]
   const nodes = [
     ...await Promise.all(models.map(({ replica }, index) => startNode(folder, 'sidecar', { ...shared, instanceId: `sidecar-${index}`, ip: hostOf(replica.address), replicaAddress: replica.address }))),
-    ...await Promise.all(entryIps.map((own, index) => startNode(folder, 'entry', { ...shared, instanceId: `entry-${index}`, ip: own, callersListen: `${own}:${CALLERS_PORT}`, readyListen: `${own}:${READY_PORT}` })))
+    ...await Promise.all(entryIps.map((entryIp, index) => startNode(folder, 'entry', { ...shared, instanceId: `entry-${index}`, ip: entryIp, callersListen: `${entryIp}:${CALLERS_PORT}`, readyListen: `${entryIp}:${READY_PORT}` })))
   ]
   return {
-    ...words,
+    ...replicaNotices,
     crashes,
     customers,
     configure,
@@ -161,21 +161,20 @@
 }
 
 /**
- * Ends what a replica has said of itself: a process that starts again is not bound by it,
- * and leaves no longer.
+ * Ends the notices and the absence of a replica: they don't apply to a restarted process.
  *
- * @param fleet - with what all replicas said
- * @param replica - that starts again
+ * @param fleet - notices and absences of all replicas
+ * @param replica - replica that restarts
  */
-export function endWords ({ away, notices }: Pick<SoakFleet, 'away' | 'notices'>, replica: FleetReplica): void {
+export function endNotices ({ absences, notices }: Pick<SoakFleet, 'absences' | 'notices'>, replica: FleetReplica): void {
   const nowMs = performance.now()
-  for (const word of [...away, ...notices]) {
-    if (word.replica === replica) word.untilMs = Math.min(nowMs, word.untilMs ?? Infinity)
+  for (const notice of [...absences, ...notices]) {
+    if (notice.replica === replica) notice.untilMs = Math.min(nowMs, notice.untilMs ?? Infinity)
   }
 }
 
-// Loopback addresses of this process alone, so that soaks may run side by side.
-function ip (last: number): string {
+// Derives loopback addresses from the process id, so that concurrent soaks don't collide.
+function loopbackIp (last: number): string {
   const subnet = process.pid
   return `127.${1 + subnet % SUBNETS}.${Math.floor(subnet / SUBNETS) % SUBNETS}.${last}`
 }
@@ -187,7 +186,7 @@
     stage,
     events: SOAK_EVENTS,
     eventMs: EVENT_MS,
-    isRestarted: true,
+    restartsAfterCrash: true,
     crashesOn: ({ path }) => path === POISON_PATH,
     onCrash: () => {
       onCrash(replica)
@@ -204,7 +203,7 @@
     seq += 1
     store.put(key, { born: replica.startedAtMs(), service: stage === undefined ? 'app' : 'llm', address: proxy.address, zone: 'a', version: 'v1', slots: 6, state, 'cold-remaining-ms': 0, stage: replica.stage(), seq })
   }
-  return { replica, proxy, replicaId, register, writeAgain: () => register(registered) }
+  return { replica, proxy, replicaId, register, rewriteRegistration: () => register(registered) }
 }
 
 async function startNode (folder: string, role: 'entry' | 'sidecar', settings: EdgeSettings): Promise<SoakNode> {
