--- a/packages/bendfall-fakes/src/__tests__/process/AnswersRound.ts
+++ b/packages/bendfall-fakes/src/__tests__/process/AnswersRound.ts
@@ -11,38 +11,38 @@
 
 const CHATS = 16
 const BOOKINGS = 16
-const RUN_MS = 200
+const SERVICE_LATENCY_MS = 200
 
-/** Time in which engines must be free again after a round. */
-export const FREE_BOUND_MS = 8_000
+/** Maximum time until all engines are free after a round. */
+export const MAX_FREE_MS = 8_000
 
-/** Cluster that the proofs of answers run against. */
-export const ANSWERS_CLUSTER: ClusterSize = { prefill: 2, decode: 2, services: 2, service: { latencyMs: RUN_MS } }
+/** Cluster of the tests that check the responses to callers. */
+export const ANSWERS_CLUSTER: ClusterSize = { prefill: 2, decode: 2, services: 2, service: { latencyMs: SERVICE_LATENCY_MS } }
 
-export interface Round { readonly chats: readonly CallVerdict[], readonly bookings: readonly BookingRecord[] }
+export interface RoundResult { readonly chats: readonly CallVerdict[], readonly bookings: readonly BookingRecord[] }
 
-let round = 0
+let roundNumber = 0
 
-/** Chats and bookings of all kinds at once; the fault hits once output flows. */
-export async function callUnder (cluster: Cluster, fault?: ClusterFault): Promise<Round> {
-  round += 1
+/** Runs chats and bookings concurrently and injects a fault once output has begun. */
+export async function runRound (cluster: Cluster, fault?: ClusterFault): Promise<RoundResult> {
+  roundNumber += 1
   let sawOutput = (): void => {}
-  const output = new Promise<void>((resolve) => { sawOutput = resolve })
+  const outputSeen = new Promise<void>((resolve) => { sawOutput = resolve })
   const chats = Array.from({ length: CHATS }, (_, index) =>
-    judgeChat(cluster.callers(entryOf(index)), { prompt: `lot ${round}.${index}`, maxTokens: 20 + 10 * index, onText: () => sawOutput() }))
-  await Promise.race([output, Promise.all(chats)])
+    judgeChat(cluster.callers(entryOf(index)), { prompt: `lot ${roundNumber}.${index}`, maxTokens: 20 + 10 * index, onText: () => sawOutput() }))
+  await Promise.race([outputSeen, Promise.all(chats)])
   const bookings = Array.from({ length: BOOKINGS }, async (_, index): Promise<BookingRecord> => {
-    const name = `${round}-${index}`
+    const name = `${roundNumber}-${index}`
     return { name, verdicts: [await judgeBooking(cluster.callers(entryOf(index)), { name })] }
   })
-  const heal = fault === undefined ? undefined : await inflictFault(cluster, fault)
-  const ended = { chats: await Promise.all(chats), bookings: await Promise.all(bookings) }
-  await heal?.()
-  return ended
+  const clearFault = fault === undefined ? undefined : await inflictFault(cluster, fault)
+  const result = { chats: await Promise.all(chats), bookings: await Promise.all(bookings) }
+  await clearFault?.()
+  return result
 }
 
-/** Every caller got its own whole answer once, or the truth. */
-export async function assertTrue (cluster: Cluster, { chats, bookings }: Round): Promise<void> {
+/** Asserts that every caller received its own complete response once, or the true outcome of its request. */
+export async function assertGuaranteesHold (cluster: Cluster, { chats, bookings }: RoundResult): Promise<void> {
   assert.equal(await findFalseChats(cluster, chats), [])
   assert.equal(await findFalseBookings(cluster, bookings), [])
 }
--- a/packages/bendfall-fakes/src/__tests__/process/BendfallFakesFleetSoak.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/process/BendfallFakesFleetSoak.test.ts
@@ -2,13 +2,13 @@
 import * as assert from 'uvu/assert'
 import { soakFleet } from '../../fleet/soak/BendfallFakesFleetSoak.js'
 
-// Seeds that ever failed stand here with a line on the cause.
+// A seed that fails is added here with a line on the cause.
 const SEEDS: readonly number[] = [1]
 
 const SECONDS = 5
 
 for (const seed of SEEDS) {
-  test(`promises hold under the faults of seed ${seed}`, async () => {
+  test(`guarantees hold under the faults of seed ${seed}`, async () => {
     const { answered, violations } = await soakFleet(seed, SECONDS)
     assert.equal(violations, [])
     assert.ok(answered > 0)
--- a/packages/bendfall-fakes/src/__tests__/process/BendfallFakesMain.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/process/BendfallFakesMain.test.ts
@@ -7,7 +7,7 @@
 const MAIN = new URL('../../BendfallFakesMain.js', import.meta.url).pathname
 
 for (const kind of ['engine', 'instances', 'key-value', 'service', 'weight-store']) {
-  test(`a ${kind} process tells its address and stops on SIGTERM`, async () => {
+  test(`a ${kind} process prints its address and stops on SIGTERM`, async () => {
     const child = spawn(process.execPath, [MAIN, kind, '{"port":0}'])
     const exited = once(child, 'exit')
     const [line] = await once(createInterface(child.stdout), 'line') as [string]
@@ -19,7 +19,7 @@
   })
 }
 
-test('an unknown kind ends with the list of kinds', async () => {
+test('a process of an unknown kind exits with status 2', async () => {
   const child = spawn(process.execPath, [MAIN, 'tide'])
   assert.equal(await once(child, 'exit'), [2, null])
 })
--- a/packages/bendfall-fakes/src/__tests__/process/BendfallFakesProofAnswers.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/process/BendfallFakesProofAnswers.test.ts
@@ -1,29 +1,29 @@
 import * as assert from 'uvu/assert'
-import { ANSWERS_CLUSTER, assertTrue, callUnder, FREE_BOUND_MS } from './AnswersRound.js'
-import { assertUncut, clusterSuite, entryOf, untilFree, untilLive } from './ClusterSuite.js'
+import { ANSWERS_CLUSTER, assertGuaranteesHold, runRound, MAX_FREE_MS } from './AnswersRound.js'
+import { assertAnsweredOrNotRun, clusterSuite, entryOf, waitUntilEnginesFree, waitUntilUpstreamsLive } from './ClusterSuite.js'
 
-const { test, run } = clusterSuite('every caller gets its own whole answer once, or the truth', ANSWERS_CLUSTER)
+const { test, run } = clusterSuite('every caller gets its own complete response once, or the true outcome of its request', ANSWERS_CLUSTER)
 
-test('many at once through two entries: each its own, none crossed', async (cluster) => {
-  const { chats, bookings } = await callUnder(cluster)
+test('concurrent callers through two entries each get the response to their own request', async (cluster) => {
+  const { chats, bookings } = await runRound(cluster)
   assert.ok([...chats, ...bookings.flatMap(({ verdicts }) => verdicts)].every(({ type }) => type === 'answered'))
-  await assertTrue(cluster, { chats, bookings })
+  await assertGuaranteesHold(cluster, { chats, bookings })
 })
 
-test('a connection refused at every replica is not run, and did not run', async (cluster) => {
+test('requests are refused as not run, and did not run, while every replica refuses connections', async (cluster) => {
   await Promise.all([cluster.kill('freight-1'), cluster.kill('freight-2'), cluster.kill('decode-1'), cluster.kill('decode-2')])
-  const ended = await callUnder(cluster)
-  await assertTrue(cluster, ended)
+  const ended = await runRound(cluster)
+  await assertGuaranteesHold(cluster, ended)
   assert.ok([...ended.chats, ...ended.bookings.flatMap(({ verdicts }) => verdicts)].every((verdict) => verdict.type === 'refused' && verdict.outcome === 'not_run'))
   for (const instanceId of ['freight-1', 'freight-2', 'decode-1', 'decode-2']) await cluster.restart(instanceId)
-  await untilLive(cluster)
+  await waitUntilUpstreamsLive(cluster)
 })
 
-test('an entry killed: its callers know nothing, all others get theirs', async (cluster) => {
-  const ended = await callUnder(cluster, { kind: 'kill', instanceId: 'entry-1' })
-  await assertTrue(cluster, ended)
-  assertUncut(ended.chats.filter((_, index) => entryOf(index) === 'entry-2'))
-  await untilFree(cluster, FREE_BOUND_MS)
+test('when an entry is killed, its callers get no outcome and all others get their responses', async (cluster) => {
+  const ended = await runRound(cluster, { kind: 'kill', instanceId: 'entry-1' })
+  await assertGuaranteesHold(cluster, ended)
+  assertAnsweredOrNotRun(ended.chats.filter((_, index) => entryOf(index) === 'entry-2'))
+  await waitUntilEnginesFree(cluster, MAX_FREE_MS)
 })
 
 run()
--- a/packages/bendfall-fakes/src/__tests__/process/BendfallFakesProofAnswersFaults.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/process/BendfallFakesProofAnswersFaults.test.ts
@@ -1,9 +1,9 @@
 import * as assert from 'uvu/assert'
 import type { ClusterFault } from '../../BendfallFakesClusterFaults.js'
-import { ANSWERS_CLUSTER, assertTrue, callUnder, FREE_BOUND_MS } from './AnswersRound.js'
-import { clusterSuite, untilFree, untilLive } from './ClusterSuite.js'
+import { ANSWERS_CLUSTER, assertGuaranteesHold, runRound, MAX_FREE_MS } from './AnswersRound.js'
+import { clusterSuite, waitUntilEnginesFree, waitUntilUpstreamsLive } from './ClusterSuite.js'
 
-const { test, run } = clusterSuite('under a fault every caller gets its own whole answer once, or the truth', ANSWERS_CLUSTER)
+const { test, run } = clusterSuite('under a fault every caller gets its own complete response once, or the true outcome of its request', ANSWERS_CLUSTER)
 
 const FAULTS: readonly ClusterFault[] = [
   { kind: 'kill', instanceId: 'decode-1' },
@@ -17,14 +17,14 @@
 ]
 
 for (const fault of FAULTS) {
-  test(`${fault.kind} at ${fault.instanceId}: whole answers or honest refusals`, async (cluster) => {
-    const ended = await callUnder(cluster, fault)
-    await untilLive(cluster)
-    await assertTrue(cluster, ended)
+  test(`${fault.kind} at ${fault.instanceId}: callers get complete responses or accurate refusals`, async (cluster) => {
+    const ended = await runRound(cluster, fault)
+    await waitUntilUpstreamsLive(cluster)
+    await assertGuaranteesHold(cluster, ended)
     const broken = [...ended.chats, ...ended.bookings.flatMap(({ verdicts }) => verdicts)].filter(({ type }) => type === 'broken')
-    assert.equal(broken, [], 'an entry that lives tells every caller')
+    assert.equal(broken, [], 'a running entry must respond to every caller')
     assert.ok(ended.chats.some(({ type }) => type === 'answered'))
-    await untilFree(cluster, FREE_BOUND_MS)
+    await waitUntilEnginesFree(cluster, MAX_FREE_MS)
   })
 }
 
--- a/packages/bendfall-fakes/src/__tests__/process/BendfallFakesProofConfiguration.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/process/BendfallFakesProofConfiguration.test.ts
@@ -11,29 +11,29 @@
 import type { CommandEnd } from '../../BendfallFakesDemoOperator.js'
 import { clusterSuite } from './ClusterSuite.js'
 
-const IN_FORCE_BOUND_MS = 5_000
+const MAX_IN_FORCE_MS = 5_000
 const EXIT_CONFLICT = 3
 const SIZE = { prefill: 1, decode: 1, services: 1 }
 
-const { test: plainTest, run } = clusterSuite('accepted configuration is in force and never reverts', SIZE)
+const { test: plainTest, run } = clusterSuite('an accepted configuration comes into force and is never reverted', SIZE)
 
 let nextWeight = 2
 
-/** An intent that differs from all before. */
-function freshIntent (): Intent {
+/** Returns an intent that differs from all previous ones. */
+function createUniqueIntent (): Intent {
   nextWeight += 1
   return { ...planClusterIntent(SIZE), clients: { cadastre: { shareWeight: nextWeight } } }
 }
 
-async function untilEverywhere (cluster: Cluster, version: number, except = ''): Promise<void> {
-  await eventually(`version ${version} everywhere`, async () => {
+async function waitUntilVersionEverywhere (cluster: Cluster, version: number, except = ''): Promise<void> {
+  await eventually(`version ${version} at all processes`, async () => {
     const others = cluster.instanceIds.filter((instanceId) => instanceId !== except)
     const versions = await Promise.all(others.map((instanceId) => cluster.configVersion(instanceId)))
     return versions.every((one) => one === version)
-  }, IN_FORCE_BOUND_MS)
+  }, MAX_IN_FORCE_MS)
 }
 
-/** All the while the versions of all processes are sampled. */
+/** Registers a test that also fails if a process returns to an older configuration version while it runs. */
 function test (name: string, work: (cluster: Cluster) => Promise<void>): void {
   plainTest(name, async (cluster) => {
     const watch = watchVersions(cluster)
@@ -47,10 +47,10 @@
   })
 }
 
-function planAndConfirm (cluster: Cluster, planned: () => Promise<void>): Promise<CommandEnd> {
-  return withIntentFile(cluster.fleet, freshIntent(), async (command) => {
+function planAndConfirm (cluster: Cluster, onPlanned: () => Promise<void>): Promise<CommandEnd> {
+  return withIntentFile(cluster.fleet, createUniqueIntent(), async (command) => {
     const { digest } = JSON.parse((await command('plan', '--json')).output) as Plan
-    await planned()
+    await onPlanned()
     return await command('confirm', '--digest', digest)
   })
 }
@@ -61,8 +61,8 @@
   return read.entry
 }
 
-/** Lets each of several go on once all have arrived. */
-function meetingOf (count: number): () => Promise<void> {
+/** Returns a barrier that releases its callers once `count` of them have reached it. */
+function createBarrier (count: number): () => Promise<void> {
   let arrived = 0
   let open = (): void => {}
   const opened = new Promise<void>((resolve) => { open = resolve })
@@ -73,70 +73,70 @@
   }
 }
 
-test('of two operators one wins, the other gets a conflict and a fresh plan', async (cluster) => {
+test('of two operators who confirm concurrently one succeeds, and the other gets a conflict and a new plan', async (cluster) => {
   const before = await cluster.configVersion('entry-1')
-  const bothPlanned = meetingOf(2)
-  const ends = await Promise.all([0, 1].map(() => planAndConfirm(cluster, bothPlanned)))
-  assert.equal(ends.map(({ exitCode }) => exitCode).sort(), [0, EXIT_CONFLICT])
-  const loser = ends.find(({ exitCode }) => exitCode === EXIT_CONFLICT)
+  const bothPlanned = createBarrier(2)
+  const results = await Promise.all([0, 1].map(() => planAndConfirm(cluster, bothPlanned)))
+  assert.equal(results.map(({ exitCode }) => exitCode).sort(), [0, EXIT_CONFLICT])
+  const loser = results.find(({ exitCode }) => exitCode === EXIT_CONFLICT)
   assert.match(loser?.output ?? '', /Nothing was changed by this command[^]*bendfallctl confirm --digest/)
-  await untilEverywhere(cluster, before + 1)
+  await waitUntilVersionEverywhere(cluster, before + 1)
 })
 
-test('a confirmation whose answer is lost is in force, once', async (cluster) => {
+test('a confirmation whose response is lost is applied exactly once', async (cluster) => {
   const before = await cluster.configVersion('entry-1')
   await cluster.fail('key-value', { mode: 'lose_answer_after_write', pathPrefix: '/compare-and-swap', count: 1 })
-  await confirmIntent(cluster.fleet, freshIntent())
-  await untilEverywhere(cluster, before + 1)
+  await confirmIntent(cluster.fleet, createUniqueIntent())
+  await waitUntilVersionEverywhere(cluster, before + 1)
 })
 
-test('processes started again during an outage learn the version from the others', async (cluster) => {
-  const { version } = await confirmIntent(cluster.fleet, freshIntent())
-  await untilEverywhere(cluster, version)
+test('processes restarted during a store outage get the version from their peers', async (cluster) => {
+  const { version } = await confirmIntent(cluster.fleet, createUniqueIntent())
+  await waitUntilVersionEverywhere(cluster, version)
   await cluster.fail('key-value', { mode: 'outage' })
   for (const instanceId of ['entry-1', 'decode-1']) {
     await cluster.kill(instanceId)
     await cluster.restart(instanceId)
   }
-  await untilEverywhere(cluster, version)
+  await waitUntilVersionEverywhere(cluster, version)
   await cluster.heal('key-value')
 })
 
-test('an outage right after the confirmation does not stop its spread or take it back', async (cluster) => {
-  const { version } = await confirmIntent(cluster.fleet, freshIntent())
-  await eventually('known to one', async () => {
+test('a store outage right after a confirmation neither stops its propagation nor reverts it', async (cluster) => {
+  const { version } = await confirmIntent(cluster.fleet, createUniqueIntent())
+  await eventually('one process has the version', async () => {
     const versions = await Promise.all(cluster.instanceIds.map((instanceId) => cluster.configVersion(instanceId)))
     return versions.includes(version)
-  }, IN_FORCE_BOUND_MS)
+  }, MAX_IN_FORCE_MS)
   await cluster.fail('key-value', { mode: 'outage' })
-  await untilEverywhere(cluster, version)
+  await waitUntilVersionEverywhere(cluster, version)
   await cluster.heal('key-value')
 })
 
-test('a process that is behind catches up and pulls nobody back', async (cluster) => {
+test('a process resumed with an old version catches up and reverts no other process', async (cluster) => {
   cluster.signal('entry-2', 'SIGSTOP')
-  const { version } = await confirmIntent(cluster.fleet, freshIntent())
-  await untilEverywhere(cluster, version, 'entry-2')
+  const { version } = await confirmIntent(cluster.fleet, createUniqueIntent())
+  await waitUntilVersionEverywhere(cluster, version, 'entry-2')
   cluster.signal('entry-2', 'SIGCONT')
-  await untilEverywhere(cluster, version)
+  await waitUntilVersionEverywhere(cluster, version)
 })
 
-test('a stale document in the key-value service takes nobody back', async (cluster) => {
+test('a stale document in the key-value service reverts no process', async (cluster) => {
   const keyValue = createHttpKeyValue({ origin: cluster.fleet.keyValueUrl })
   const old = await readDocument(keyValue)
-  const { version } = await confirmIntent(cluster.fleet, freshIntent())
-  await untilEverywhere(cluster, version)
+  const { version } = await confirmIntent(cluster.fleet, createUniqueIntent())
+  await waitUntilVersionEverywhere(cluster, version)
   const newer = await readDocument(keyValue)
   const { watch } = await cluster.keyValueCalls()
   await keyValue.compareAndSwap({ key: CONFIG_KEY, expectedRevision: newer.revision, value: old.value, leaseId: '' })
-  await eventually('both watchers read it', async () => (await cluster.keyValueCalls()).watch >= watch + 2)
-  await untilEverywhere(cluster, version)
+  await eventually('both watchers have read the stale document', async () => (await cluster.keyValueCalls()).watch >= watch + 2)
+  await waitUntilVersionEverywhere(cluster, version)
   const { revision } = await readDocument(keyValue)
   await keyValue.compareAndSwap({ key: CONFIG_KEY, expectedRevision: revision, value: newer.value, leaseId: '' })
   await keyValue.close()
 })
 
-test('an old order reaches no engine after a newer one', async (cluster) => {
+test('no engine receives an older order after a newer one', async (cluster) => {
   const { fencingTokens } = await cluster.engine('decode-1')
   assert.equal(fencingTokens, [...fencingTokens].sort((left, right) => left - right))
 })
--- a/packages/bendfall-fakes/src/__tests__/process/ClusterSuite.ts
+++ b/packages/bendfall-fakes/src/__tests__/process/ClusterSuite.ts
@@ -13,11 +13,11 @@
 import { eventually } from '../../BendfallFakesClusterWait.js'
 import type { FleetPlan } from '../../BendfallFakesDemoSetup.js'
 
-const PRINTED_REQUESTS = 3
+const MAX_PRINTED_REQUESTS = 3
 
 export type ClusterTest = (name: string, run: (cluster: Cluster) => Promise<void>) => void
 
-/** Tests in one file share a cluster, and leave it as they found it. */
+/** Creates a suite whose tests share one cluster; each test must leave it in its initial state. */
 export function clusterSuite (name: string, size: ClusterSize, plan: Partial<FleetPlan> = {}): { readonly test: ClusterTest, readonly run: () => void } {
   const tests: Test = suite(name)
   let cluster: Cluster | undefined
@@ -36,7 +36,7 @@
   return { test, run: () => tests.run() }
 }
 
-/** Shows which processes got no processor, and when: a starved machine is told from a fault by it. */
+/** Prints when processes got no processor time, which distinguishes an overloaded machine from a fault. */
 function printStalls ({ fleet }: Cluster): void {
   const nodes = [...fleet.sidecars, ...fleet.entries].map(({ process }) => process)
   for (const { lines, name } of [...nodes, ...fleet.upstreams.values(), fleet.keyValue, fleet.instanceList]) {
@@ -46,20 +46,20 @@
   }
 }
 
-/** Shows what all processes recorded of the requests that ended without an answer, the first few of them. */
+/** Prints the events that all processes recorded for the first few requests that ended without a response. */
 async function printUnanswered (cluster: Cluster): Promise<void> {
   const events = await cluster.timeline()
   const ends = events.filter(({ event, fields }) => event === 'request_ended' && fields.outcome !== 'answered')
-  for (const { subject } of ends.slice(0, PRINTED_REQUESTS)) {
+  for (const { subject } of ends.slice(0, MAX_PRINTED_REQUESTS)) {
     console.log(formatTimeline(events.filter((event) => event.subject === subject)))
   }
 }
 
 export interface OpenCall {
-  /** Resolves with the first output; rejects when the call ends before it. */
+  /** Resolves on the first output; rejects if the call ends before it. */
   readonly output: Promise<void>
   readonly verdict: Promise<CallVerdict>
-  readonly leave: () => void
+  readonly disconnect: () => void
 }
 
 export function openChat (cluster: Cluster, entry: string, prompt: string, maxTokens: number): OpenCall {
@@ -67,31 +67,31 @@
   let sawOutput = (): void => {}
   const output = new Promise<void>((resolve) => { sawOutput = resolve })
   const verdict = judgeChat(cluster.callers(entry), { prompt, maxTokens, signal: caller.signal, onText: () => sawOutput() })
-  const first = Promise.race([output, verdict.then((ended) => { throw new Error(`ended before output: ${JSON.stringify(ended)}`) })])
-  first.catch(() => {})
-  return { output: first, verdict, leave: () => caller.abort() }
+  const firstOutput = Promise.race([output, verdict.then((ended) => { throw new Error(`ended before output: ${JSON.stringify(ended)}`) })])
+  firstOutput.catch(() => {})
+  return { output: firstOutput, verdict, disconnect: () => caller.abort() }
 }
 
-/** Waits until an engine of a pool holds an attempt, and tells which. */
-export async function holder (cluster: Cluster, pool = 'decode'): Promise<string> {
+/** Waits until an engine of a pool has an open attempt, and returns its instance ID. */
+export async function waitForBusyEngine (cluster: Cluster, pool = 'decode'): Promise<string> {
   const instanceIds = cluster.instanceIds.filter((instanceId) => instanceId.startsWith(`${pool}-`))
-  const { value } = await eventually(`an engine of ${pool} works`, async () => {
+  const { value } = await eventually(`an engine of ${pool} has an open attempt`, async () => {
     const states = await Promise.all(instanceIds.map((instanceId) => cluster.engine(instanceId)))
     return instanceIds.find((_, index) => states[index].attempts.length > 0)
   })
   return value
 }
 
-/** Waits until no engine holds anything, and asserts the bound. */
-export async function untilFree (cluster: Cluster, boundMs: number): Promise<void> {
+/** Waits until no engine has open attempts or used memory; fails after `maxWaitMs`. */
+export async function waitUntilEnginesFree (cluster: Cluster, maxWaitMs: number): Promise<void> {
   const engines = [...cluster.fleet.upstreams.keys()].filter((instanceId) => !instanceId.startsWith('freight'))
   await eventually('engine memory free', async () => {
     const states = await Promise.all(engines.map((instanceId) => cluster.engine(instanceId)))
     return states.every(({ attempts, usedKvBytes }) => attempts.length === 0 && usedKvBytes === 0)
-  }, boundMs)
+  }, maxWaitMs)
 }
 
-export async function untilLive (cluster: Cluster, entries: readonly string[] = ['entry-1', 'entry-2']): Promise<void> {
+export async function waitUntilUpstreamsLive (cluster: Cluster, entries: readonly string[] = ['entry-1', 'entry-2']): Promise<void> {
   const upstreams = cluster.fleet.sidecars.length
   await eventually('all upstreams live at the entries', async () => {
     const all = await Promise.all(entries.map((entry) => cluster.status(entry)))
@@ -103,23 +103,23 @@
   assert.ok(types.includes(verdict.type), JSON.stringify(verdict))
 }
 
-/** No answer was cut, doubled or of another request, and refusals say that nothing ran. */
-export function assertUncut (verdicts: readonly CallVerdict[]): void {
-  const cut = verdicts.filter((verdict) => verdict.type !== 'answered' && !(verdict.type === 'refused' && verdict.outcome === 'not_run'))
-  assert.equal(cut, [])
-  assert.ok(verdicts.some(({ type }) => type === 'answered'), 'some were answered')
+/** Asserts that every call was answered or refused as not run: no response was aborted, duplicated or of another request. */
+export function assertAnsweredOrNotRun (verdicts: readonly CallVerdict[]): void {
+  const unexpected = verdicts.filter((verdict) => verdict.type !== 'answered' && !(verdict.type === 'refused' && verdict.outcome === 'not_run'))
+  assert.equal(unexpected, [])
+  assert.ok(verdicts.some(({ type }) => type === 'answered'), 'at least one call must be answered')
 }
 
 export function entryOf (index: number): string {
   return `entry-${index % 2 + 1}`
 }
 
-/** Small chats through both entries in turn, or as a balancer sends them. */
+/** Starts small chats through both entries in turn, or through the entries that `balance` returns. */
 export function startChats (cluster: Cluster, callers: number, balance = entryOf): ClusterLoad {
   return startLoad(callers, (index) => judgeChat(cluster.callers(balance(index)), { prompt: `load ${index}`, maxTokens: 10 }), cluster.ended)
 }
 
-/** Bookings without a key through both entries in turn. */
+/** Starts bookings without an idempotency key through both entries in turn. */
 export function startBookings (cluster: Cluster, callers: number): ClusterLoad {
   return startLoad(callers, (index) => judgeBooking(cluster.callers(entryOf(index)), { name: 'load' }), cluster.ended)
 }
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesStreamEnd.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesStreamEnd.test.ts
@@ -49,7 +49,7 @@
   assert.is(answer.end, 'closed')
 })
 
-test('a close-delimited stream that ends within an event is reset', async () => {
+test('a close-delimited stream that ends within an event is reset, so that it does not look complete', async () => {
   harness.respondWith = (socket, requestId) => RESPONDERS.connection(socket, requestId, EVENTS + UNTERMINATED_EVENT)
   const answer = await sendRawRequest('/s/1', 'connection-within')
   assert.is(answer.end, 'reset')
