--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAnswersFuzz.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAnswersFuzz.test.ts
@@ -1,20 +1,20 @@
-// The promises of an entry under answers that are framed, broken off, doubled and
-// delayed by a seed. Seeds that ever failed stay, with a line on the cause.
+// Checks the guarantees of an entry against responses whose framing, truncation, duplicates
+// and delays are drawn from a seed. Each seed that has failed stays, with its cause.
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { fuzzAnswers, planOf } from '../../fleet/answers/BendfallFakesAnswersFuzz.js'
 
 const SEEDS: ReadonlyArray<readonly [number, string]> = [
   [403, 'a hold was given to two requests'],
-  [405, 'a reset was taken for the end of an answer'],
-  [406, 'a second answer gave the handle of another request'],
-  [407, 'an end that no length or chunk told was vouched for'],
-  [408, 'streams lacked their tail, or never ended'],
-  [409, 'an end of the connection while reading was paused ended the process']
+  [405, 'a reset was mistaken for the end of a response'],
+  [406, 'a duplicate response supplied the handle of another request'],
+  [407, 'the end of a response without a length or chunks was passed on as verified'],
+  [408, 'streams lost their last bytes or never ended'],
+  [409, 'a connection that closed while reading was paused ended the process']
 ]
 
 for (const [seed, cause] of SEEDS) {
-  test(`promises hold on seed ${seed}: ${cause}`, async () => {
+  test(`guarantees hold on seed ${seed}: ${cause}`, async () => {
     const { calls, violations } = await fuzzAnswers(planOf(seed))
     assert.ok(calls > 0)
     assert.equal(violations.map(({ detail, requestId, type }) => `${type} ${requestId}: ${detail}`), [])
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAnswersPausedEnd.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAnswersPausedEnd.test.ts
@@ -1,9 +1,9 @@
-// The process ended by itself, and with it every answer that was being passed on:
-// those without a length looked complete to their callers, since the kernel closes
-// what is open in order. A caller read slower than its replica wrote, so that reading
-// from the replica was paused; then the replica's connection ended. The HTTP client
-// asserts at the end of a connection that its parser is not paused, in an event of
-// the socket where nobody catches it: "assert(!this.paused)" in its Parser.finish.
+// Guards against an assertion in the HTTP client that ended the process and with it
+// every response being forwarded; close-delimited responses looked complete to their
+// callers, since the kernel closes open connections gracefully. A caller read more slowly
+// than its replica wrote, so reading from the replica was paused; then the replica's
+// connection ended. The client asserts there that its parser is not paused
+// ("assert(!this.paused)" in Parser.finish), in a socket event whose errors nothing catches.
 import { createServer } from 'node:net'
 import type { AddressInfo, Socket } from 'node:net'
 import { setTimeout as sleep } from 'node:timers/promises'
@@ -15,7 +15,7 @@
 const BODY_BYTES = 200_000
 const CLOSE_AFTER_MS = 50
 const PAUSE_MS = 150
-const LONGEST_MS = 3_000
+const TIMEOUT_MS = 3_000
 const SETTLE_MS = 50
 
 const HEADS: Readonly<Record<string, string>> = {
@@ -31,16 +31,16 @@
   readonly uncaught: readonly string[]
 }
 
-/** Calls a replica and pauses reading at each piece. */
-async function callPaused (answer: string, breakOff: (socket: Socket) => void): Promise<Outcome> {
+/** Calls a replica and pauses reading after each chunk that arrives. */
+async function callPaused (response: string, endConnection: (socket: Socket) => void): Promise<Outcome> {
   const uncaught: string[] = []
-  const note = (error: unknown): void => { uncaught.push(String(error)) }
-  process.on('uncaughtException', note)
+  const recordError = (error: unknown): void => { uncaught.push(String(error)) }
+  process.on('uncaughtException', recordError)
   const sockets = new Set<Socket>()
   const server = createServer((socket) => {
     sockets.add(socket)
     socket.on('error', () => {})
-    socket.once('data', () => socket.write(answer, () => setTimeout(() => breakOff(socket), CLOSE_AFTER_MS)))
+    socket.once('data', () => socket.write(response, () => setTimeout(() => endConnection(socket), CLOSE_AFTER_MS)))
   })
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve))
   const pool = createConnectionPool(`127.0.0.1:${(server.address() as AddressInfo).port}`, () => {})
@@ -57,9 +57,9 @@
       onFail: () => resolve('fail')
     })
   })
-  const end = await Promise.race([ended, sleep(LONGEST_MS, 'none' as const)])
+  const end = await Promise.race([ended, sleep(TIMEOUT_MS, 'none' as const)])
   await sleep(SETTLE_MS)
-  process.off('uncaughtException', note)
+  process.off('uncaughtException', recordError)
   pool.destroy()
   for (const socket of sockets) socket.destroy()
   server.close()
@@ -67,22 +67,22 @@
 }
 
 for (const [framing, head] of Object.entries(HEADS)) {
-  const whole = `${head}${'x'.repeat(BODY_BYTES)}${framing === 'in one chunk' ? LAST_CHUNK : ''}`
+  const complete = `${head}${'x'.repeat(BODY_BYTES)}${framing === 'in one chunk' ? LAST_CHUNK : ''}`
 
-  test(`a whole answer ${framing} whose connection is closed while reading is paused arrives whole`, async () => {
-    assert.equal(await callPaused(whole, (socket) => socket.end()), { end: 'end', bytes: BODY_BYTES, uncaught: [] })
+  test(`a complete response ${framing} whose connection is closed while reading is paused arrives completely`, async () => {
+    assert.equal(await callPaused(complete, (socket) => socket.end()), { end: 'end', bytes: BODY_BYTES, uncaught: [] })
   })
 
-  test(`a whole answer ${framing} whose connection is reset while reading is paused ends without an uncaught error`, async () => {
-    const { end, uncaught } = await callPaused(whole, (socket) => socket.resetAndDestroy())
+  test(`a complete response ${framing} whose connection is reset while reading is paused ends without an uncaught error`, async () => {
+    const { end, uncaught } = await callPaused(complete, (socket) => socket.resetAndDestroy())
     assert.equal(uncaught, [])
     assert.is.not(end, 'none')
     if (framing === 'without a length') assert.is(end, 'fail')
   })
 
-  test(`part of an answer ${framing} that is reset while reading is paused fails`, async () => {
-    const part = `${head}${'x'.repeat(BODY_BYTES / 2)}`
-    const { end, uncaught } = await callPaused(part, (socket) => socket.resetAndDestroy())
+  test(`a partial response ${framing} whose connection is reset while reading is paused fails`, async () => {
+    const partial = `${head}${'x'.repeat(BODY_BYTES / 2)}`
+    const { end, uncaught } = await callPaused(partial, (socket) => socket.resetAndDestroy())
     assert.equal({ end, uncaught }, { end: 'fail', uncaught: [] })
   })
 }
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAnswersReset.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAnswersReset.test.ts
@@ -1,9 +1,9 @@
-// A caller got part of an answer as a whole one, with the replica's signature.
-// The replica sent part of an answer without a length and its connection was reset
-// while the entry was busy, so that the entry found the last bytes and the reset
-// together. The socket then tells the end of the data and no error, and the answer
-// was taken for closed in order. The answers below are reset in the turn of their
-// last bytes, which is what a busy entry finds.
+// Guards against a partial response that reaches the caller as a complete one, with the
+// replica's signature. The replica sent part of a close-delimited response, and its
+// connection was reset while the entry was busy, so the entry received the last bytes and
+// the reset together. The socket then reports the end of the data and no error, and the
+// response counted as closed gracefully. The responses below are reset in the same
+// event loop turn as their last bytes, which is what a busy entry observes.
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import type { ScriptCut } from '../../fleet/answers/BendfallFakesAnswersScript.js'
@@ -20,7 +20,7 @@
 
 for (const kind of ['booking', 'rate', 'summary', 'brief'] as const satisfies readonly AnswersKind[]) {
   for (const [place, cut] of Object.entries(CUTS)) {
-    test(`an answer without a length to a ${kind} call that is reset ${place} is not passed on as complete`, async () => {
+    test(`a close-delimited response to a ${kind} call that is reset ${place} is not forwarded as complete`, async () => {
       await onAnswersStage({ scriptOf: ({ asked }) => (asked === 'run' ? { framing: 'connection', bodyBytes: 600, cut } : {}) }, async ({ broken, call }) => {
         for (let i = 0; i < CALLS; i++) await call(kind, `reset-${i}`)
         assert.equal(broken(), [])
@@ -29,7 +29,7 @@
   }
 }
 
-test('an answer without a length that is closed in order is complete', async () => {
+test('a close-delimited response that is closed gracefully is complete', async () => {
   await onAnswersStage({ scriptOf: ({ asked }) => (asked === 'run' ? { framing: 'connection', bodyBytes: 600 } : {}) }, async ({ broken, call }) => {
     const ends: string[] = []
     for (let i = 0; i < CALLS; i++) ends.push((await call('booking', `closed-${i}`)).end)
