--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesCustomers.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesCustomers.test.ts
@@ -1,5 +1,5 @@
-// Customers' keys on sockets: entries, a store that each reaches through a proxy of its own, and
-// replicas that keep what they saw.
+// Tests API keys of customers over real sockets, with entries that each reach the store through a
+// proxy of their own and replicas that record the requests they receive.
 import { setTimeout as sleep } from 'node:timers/promises'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
@@ -9,7 +9,7 @@
 const ACME = { name: 'acme', 'api-keys': ['secret-of-acme', 'second-of-acme'] }
 const BOLT = { name: 'bolt', 'api-keys': ['secret-of-bolt'] }
 
-/** From the word of the store until an entry that reaches it acts by it, on a machine with other work. */
+/** Time from a change in the store until a connected entry has applied it, on a machine under other load. */
 const APPLIED_MS = 2_000
 
 const CALL_PAUSE_MS = 25
@@ -22,7 +22,7 @@
   return await Promise.all(entries.map((entry) => callEntry(entry, call)))
 }
 
-test('replicas get the customer of the key with each send, and no key', async () => {
+test('each send to a replica carries the customer of the key, but not the key', async () => {
   await inCustomerScene(1, [ACME, BOLT], async (scene) => {
     const [entry] = scene.entries as [CustomerEntry]
     for (const path of ['/r/1', '/s/1', '/open/1']) {
@@ -42,23 +42,23 @@
   })
 })
 
-const REFUSED: ReadonlyArray<readonly [string, CustomerCall['headers']]> = [
+const INVALID_KEYS: ReadonlyArray<readonly [string, CustomerCall['headers']]> = [
   ['no key', []],
   ['an unknown key', withKey('of-nobody')],
   ['an empty key', withKey('')],
-  ['the claim of a customer', [['X-Tenant', 'acme']]],
-  ['the name of a customer', withKey('acme')],
-  ['a key twice', [['X-Api-Key', 'secret-of-acme'], ['X-Api-Key', 'secret-of-acme']]],
-  ['keys in a list', withKey('secret-of-acme, secret-of-bolt')],
-  ['a key in another case', withKey('SECRET-OF-ACME')],
+  ['a customer header in place of a key', [['X-Tenant', 'acme']]],
+  ['the name of a customer as the key', withKey('acme')],
+  ['a repeated key header', [['X-Api-Key', 'secret-of-acme'], ['X-Api-Key', 'secret-of-acme']]],
+  ['a list of keys', withKey('secret-of-acme, secret-of-bolt')],
+  ['a key in a different case', withKey('SECRET-OF-ACME')],
   ['a key of 10 KB', withKey('k'.repeat(10_240))],
-  ['a key of odd bytes', withKey('secret-of-acme\u00ff')]
+  ['a key with a non-ASCII byte', withKey('secret-of-acme\u00ff')]
 ]
 
-test('what is no key of a customer is refused, and an open route asks for none', async () => {
+test('requests without a valid key are refused, except on routes that allow anonymous requests', async () => {
   await inCustomerScene(1, [ACME, BOLT], async (scene) => {
     const [entry] = scene.entries as [CustomerEntry]
-    for (const [what, headers] of REFUSED) {
+    for (const [what, headers] of INVALID_KEYS) {
       assert.is((await callEntry(entry, { path: '/r/1', headers })).status, 401, what)
       assert.is((await callEntry(entry, { path: '/s/1', headers })).status, 401, what)
       const open = await callEntry(entry, { path: '/open/1', headers })
@@ -69,7 +69,7 @@
   })
 })
 
-test('random keys cost the store no calls', async () => {
+test('requests with random keys cause no calls to the store', async () => {
   await inCustomerScene(1, [ACME], async (scene) => {
     const [entry] = scene.entries as [CustomerEntry]
     await sleep(500)
@@ -79,49 +79,49 @@
     const idle = countCalls() - idleBefore
     const before = countCalls()
     const endsAtMs = performance.now() + 1_500
-    let asked = 0
+    let sentKeys = 0
     while (performance.now() < endsAtMs) {
-      asked += 20
-      const answers = await Promise.all(Array.from({ length: 20 }, (_, i) => callEntry(entry, { path: '/r/1', headers: withKey(`random-${asked}-${i}`) })))
+      sentKeys += 20
+      const answers = await Promise.all(Array.from({ length: 20 }, (_, i) => callEntry(entry, { path: '/r/1', headers: withKey(`random-${sentKeys}-${i}`) })))
       assert.equal(new Set(answers.map(({ status }) => status)), new Set([401]))
     }
-    assert.ok(countCalls() - before <= idle + 2, `${countCalls() - before} calls for ${asked} keys, ${idle} while idle`)
+    assert.ok(countCalls() - before <= idle + 2, `${countCalls() - before} calls for ${sentKeys} keys, ${idle} while idle`)
   })
 })
 
-const CUTS: ReadonlyArray<readonly [string, (entry: CustomerEntry) => void]> = [
-  ['whose connections fall silent', ({ proxy }) => proxy.harm('silent')],
-  ['that hears nothing, though it is heard', ({ proxy }) => proxy.harm('one_way')]
+const FAULTS: ReadonlyArray<readonly [string, (entry: CustomerEntry) => void]> = [
+  ['whose connections to the store become silent', ({ proxy }) => proxy.harm('silent')],
+  ['that can send to the store but receives nothing', ({ proxy }) => proxy.harm('one_way')]
 ]
 
-for (const [what, cut] of CUTS) {
-  test(`a key that was taken away opens nothing in time, also at an entry ${what}`, async () => {
+for (const [what, disconnect] of FAULTS) {
+  test(`a revoked key is refused within the time limit, also at an entry ${what}`, async () => {
     await inCustomerScene(3, [ACME, BOLT], async (scene) => {
-      const [, , lost] = scene.entries as [CustomerEntry, CustomerEntry, CustomerEntry]
+      const [, , disconnected] = scene.entries as [CustomerEntry, CustomerEntry, CustomerEntry]
       const runsOf = (key: string): Promise<CustomerAnswer[]> => callAll(scene.entries, { path: '/r/1', headers: withKey(key) })
       assert.equal((await runsOf('secret-of-acme')).map(({ status }) => status), [200, 200, 200])
-      cut(lost)
+      disconnect(disconnected)
       await sleep(100)
       scene.configure(2, [{ ...ACME, 'api-keys': ['second-of-acme'] }, BOLT])
-      const takenAtMs = performance.now()
-      const late: string[] = []
-      const served = { lost: 0, others: 0, open: 0 }
-      while (performance.now() - takenAtMs < REVOKED_WITHIN_MS + 1_500) {
-        const sentMs = performance.now() - takenAtMs
+      const revokedAtMs = performance.now()
+      const violations: string[] = []
+      const served = { disconnected: 0, others: 0, open: 0 }
+      while (performance.now() - revokedAtMs < REVOKED_WITHIN_MS + 1_500) {
+        const sentMs = performance.now() - revokedAtMs
         const [first, second, third] = await runsOf('secret-of-acme') as [CustomerAnswer, CustomerAnswer, CustomerAnswer]
-        if (sentMs > APPLIED_MS && (first.status !== 401 || second.status !== 401)) late.push(`in touch: ${first.status}, ${second.status} at ${sentMs}`)
-        if (sentMs > REVOKED_WITHIN_MS && third.status === 200) late.push(`cut off: at ${sentMs}`)
+        if (sentMs > APPLIED_MS && (first.status !== 401 || second.status !== 401)) violations.push(`connected entries: ${first.status}, ${second.status} at ${sentMs}`)
+        if (sentMs > REVOKED_WITHIN_MS && third.status === 200) violations.push(`disconnected entry: served at ${sentMs}`)
         const other = await runsOf('secret-of-bolt') as [CustomerAnswer, CustomerAnswer, CustomerAnswer]
         if (other[0].status === 200) served.others += 1
-        if (other[2].status === 200) served.lost += 1
+        if (other[2].status === 200) served.disconnected += 1
         else assert.ok((other[2].retryAfterS ?? Infinity) < 1 && other[2].status === 503, `${other[2].status} ${other[2].body}`)
-        if ((await callEntry(lost, { path: '/open/1' })).status === 200) served.open += 1
+        if ((await callEntry(disconnected, { path: '/open/1' })).status === 200) served.open += 1
         await sleep(CALL_PAUSE_MS)
       }
-      assert.equal(late, [])
-      assert.ok(served.lost > 5 && served.lost < served.others, JSON.stringify(served))
+      assert.equal(violations, [])
+      assert.ok(served.disconnected > 5 && served.disconnected < served.others, JSON.stringify(served))
       assert.is(served.open, served.others)
-      lost.proxy.harm(undefined)
+      disconnected.proxy.harm(undefined)
       await sleep(3_000)
       assert.equal((await runsOf('secret-of-bolt')).map(({ status }) => status), [200, 200, 200])
       assert.equal((await runsOf('secret-of-acme')).map(({ status }) => status), [401, 401, 401])
@@ -129,7 +129,7 @@
   })
 }
 
-test('keys are in no line, metric, document or answer', async () => {
+test('keys appear in no log line, metric, stored document or request to a replica', async () => {
   await inCustomerScene(2, [ACME, BOLT], async (scene) => {
     for (let version = 2; version < 6; version++) {
       scene.configure(version, version % 2 === 0 ? [{ ...ACME, 'api-keys': ['second-of-acme'] }, { ...BOLT, 'api-keys': ['secret-of-bolt', 'secret-of-acme'] }] : [ACME, BOLT])
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesEnds.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesEnds.test.ts
@@ -4,31 +4,31 @@
 import { inEndsScene, LARGE_BODY, readAnswers, until } from './EndsScene.js'
 import type { EndsScene, RawCaller } from './EndsScene.js'
 
-// A caller got an answer that was not whole. The replica passed on a stream that has neither
-// a length nor chunks, whose end only its connection tells; before its end the process of the
-// entry ended, and the kernel closed the connections of its callers in order, so that what
-// had come until then looked like the whole answer. Each way in which a process ends by
-// itself is played here with a real one; a caller at its socket tells a reset from an end.
+// Guards against a truncated response that looks complete to its caller. The entry was forwarding
+// a close-delimited stream when its process ended, and the kernel closed the connections of the
+// callers gracefully, so the part received until then looked like the complete response. The tests
+// end a real process in each way in which it can end by itself; callers on raw sockets distinguish
+// a reset from a graceful close.
 
-const SEEN_BYTES = 400
+const RECEIVED_BYTES = 400
 
-/** Callers of each large answer, some of whom are served when the process is killed. */
+/** Number of callers of each large response, some of which are being served when the process is killed. */
 const KILLED_CALLS = 30
 
-/** One end in order among some hundred resets would show. */
-const CUTS = 500
+/** Enough to reveal a single graceful close among several hundred resets. */
+const BROKEN_STREAMS = 500
 const CALLERS_AT_ONCE = 10
 
-/** Answers of 250 KB that no connection holds at once: the kernel took 16 of them. */
+/** Number of 250 KB responses, more than one connection can buffer: the kernel accepted 16 of them. */
 const SLOW_CALLS = 40
 
-/** Until answers that come at once have come. */
+/** Time after which responses that are sent immediately have arrived. */
 const SETTLED_MS = 1_000
 
-/** A process without open requests ends 3.2 s after the signal. */
+/** A process without open requests exits 3.2 s after the signal. */
 const LONGER_THAN_IDLE_STOP_MS = 4_000
 
-/** Callers of half-delivered streams, in each framing and with an old protocol version. */
+/** Starts streams in each framing, also with HTTP/1.0, and returns their callers once part of each stream has arrived. */
 async function startStreams (scene: EndsScene): Promise<RawCaller[]> {
   const callers = [
     scene.call([{ path: '/stream/unframed/1' }]),
@@ -37,7 +37,7 @@
     scene.call([{ path: '/stream/chunked/4', version: '1.0' }]),
     scene.call([{ path: '/stream/unframed/5', version: '1.0' }])
   ]
-  await until(() => callers.every(({ text }) => text().length > SEEN_BYTES))
+  await until(() => callers.every(({ text }) => text().length > RECEIVED_BYTES))
   return callers
 }
 
@@ -51,7 +51,7 @@
   }
 }
 
-test('streams that outlast the grace time do not look complete', async () => {
+test('streams that outlast the grace period do not look complete', async () => {
   await inEndsScene({}, async (scene) => {
     const callers = await startStreams(scene)
     scene.process.signal('SIGTERM')
@@ -60,7 +60,7 @@
   })
 })
 
-test('streams do not look complete when an error ends the process', async () => {
+test('streams do not look complete when an uncaught error ends the process', async () => {
   await inEndsScene({ preload: 'process.on("SIGUSR2",()=>{throw new Error("nobody catches it")})' }, async (scene) => {
     const callers = await startStreams(scene)
     process.kill(scene.process.pid, 'SIGUSR2')
@@ -70,7 +70,7 @@
   })
 })
 
-test('streams do not look complete when a rejection ends the process', async () => {
+test('streams do not look complete when an unhandled rejection ends the process', async () => {
   await inEndsScene({ preload: 'process.on("SIGUSR2",()=>{Promise.reject(new Error("nobody catches it"))})' }, async (scene) => {
     const callers = await startStreams(scene)
     process.kill(scene.process.pid, 'SIGUSR2')
@@ -79,7 +79,7 @@
   })
 })
 
-test('streams do not look complete when the stop fails', async () => {
+test('streams do not look complete when the shutdown fails', async () => {
   await inEndsScene({ preload: 'import{Server}from"node:http";Server.prototype.close=()=>{throw new Error("close")}' }, async (scene) => {
     const callers = await startStreams(scene)
     scene.process.signal('SIGTERM')
@@ -89,7 +89,7 @@
   })
 })
 
-test('further signals do not end a process that stops', async () => {
+test('further signals do not end a process that is shutting down', async () => {
   await inEndsScene({ stopGraceS: 6 }, async (scene) => {
     const late = scene.call([{ path: '/call/1500/late' }])
     await until(() => scene.reached.length === 1)
@@ -105,13 +105,13 @@
   })
 })
 
-// The process does not learn of SIGKILL, after which the kernel closes in order what is open:
-// only what tells its end itself is safe then. Streams without a length are not.
-test('answers with a length, in chunks or held whole do not look complete when the process is killed', async () => {
+// The process cannot handle SIGKILL, after which the kernel closes open connections gracefully.
+// Only responses whose framing marks their end are safe then; close-delimited streams are not.
+test('partial responses with a length, in chunks or buffered by the entry do not look complete when the process is killed', async () => {
   await inEndsScene({}, async (scene) => {
     const large = ['large', 'unframed'].flatMap((how) => Array.from({ length: KILLED_CALLS }, (_, index) => scene.call([{ path: `/call/${how}/${index}` }])))
     const stream = scene.call([{ path: '/stream/chunked/1' }])
-    await until(() => stream.text().length > SEEN_BYTES && scene.reached.length > KILLED_CALLS)
+    await until(() => stream.text().length > RECEIVED_BYTES && scene.reached.length > KILLED_CALLS)
     scene.process.signal('SIGKILL')
     await assertNoneLooksComplete([stream])
     for (const caller of large) {
@@ -122,25 +122,25 @@
   })
 })
 
-test('callers of streams that break off see a reset, each of them', async () => {
+test('every caller of a stream that breaks sees a reset', async () => {
   await inEndsScene({}, async (scene) => {
     const ends = { fin: 0, rst: 0 }
     let next = 0
     const callInTurn = async (): Promise<void> => {
-      while (next < CUTS) {
+      while (next < BROKEN_STREAMS) {
         const caller = scene.call([{ path: `/stream/broken/${next++}`, version: '1.0' }])
         ends[await caller.ended] += 1
         assert.match(caller.text(), /^HTTP\/1.1 200 OK\r\n/)
       }
     }
     await Promise.all(Array.from({ length: CALLERS_AT_ONCE }, callInTurn))
-    assert.equal(ends, { fin: 0, rst: CUTS })
+    assert.equal(ends, { fin: 0, rst: BROKEN_STREAMS })
   })
 })
 
-// Answers that were whole in the process were broken off at its end, since their caller read
-// slowly: the server's close ends a connection as soon as the last answer was handed to it.
-test('whole answers that a slow caller has not read yet are delivered before the process ends', async () => {
+// Responses that were complete in the process were truncated when it ended if their caller read
+// slowly: server.close() ends a connection as soon as the last response has been written to it.
+test('complete responses that a slow caller has not read yet are delivered before the process ends', async () => {
   await inEndsScene({ stopGraceS: 16 }, async (scene) => {
     const paths = Array.from({ length: SLOW_CALLS }, (_, index) => ({ path: `/call/large/${index}` }))
     const slow = scene.call(paths, { isReading: false })
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesEndsConnections.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesEndsConnections.test.ts
@@ -4,32 +4,32 @@
 import { inEndsScene, readAnswers, until } from './EndsScene.js'
 import type { EndsScene } from './EndsScene.js'
 
-// Callers got answers that were not their own, or not whole, through what followed their
-// request on its connection: the server ended a connection in order while half an answer
-// without a length was out, or wrote a refusal of what followed, which the caller read as
-// the answer to its request, though that ran. Played on a real process of the entry.
+// Guards against wrong or truncated responses caused by bytes that follow a request on its
+// connection. The server closed a connection gracefully in the middle of a close-delimited
+// response, or refused the following bytes with an error that the caller read as the response
+// to its request, although that ran. The tests use a real entry process.
 
-/** Longer than a call's timeout, so that calls are still taken while the process stops. */
+/** Longer than a call's timeout, so that calls are still accepted while the process shuts down. */
 const GRACE_S = 16
 
-/** Longer than the time for a head, and the interval at which it is checked. */
+/** Longer than the timeout for a request head plus the interval at which it is checked. */
 const LATE_MS = 2_800
 
-const SEEN_BYTES = 100
+const RECEIVED_BYTES = 100
 const CALLERS_AT_ONCE = 10
 
-/** Connections that a caller opens one after the other, at most. */
+/** Maximum number of connections that a caller opens one after the other; keeps request names distinct. */
 const ROUNDS = 100_000
-const PART_OF_HEAD = 'GET /call/0/next HTTP/1.1\r\nHost: ends'
-const NO_HEAD = 'no head\r\n\r\n'
+const PARTIAL_HEAD = 'GET /call/0/next HTTP/1.1\r\nHost: ends'
+const INVALID_HEAD = 'no head\r\n\r\n'
 
-async function inScene (play: (scene: EndsScene) => Promise<void>): Promise<void> {
-  await inEndsScene({ stopGraceS: GRACE_S }, play)
+async function withScene (run: (scene: EndsScene) => Promise<void>): Promise<void> {
+  await inEndsScene({ stopGraceS: GRACE_S }, run)
 }
 
-for (const [name, following] of [['part of a head', PART_OF_HEAD], ['no head', NO_HEAD]] as const) {
-  test(`a call that runs gets its own answer, followed by ${name}`, async () => {
-    await inScene(async (scene) => {
+for (const [name, following] of [['a partial head', PARTIAL_HEAD], ['an invalid head', INVALID_HEAD]] as const) {
+  test(`a running call that is followed by ${name} gets its own response`, async () => {
+    await withScene(async (scene) => {
       const path = `/call/${LATE_MS}/own`
       const caller = scene.call([{ path }])
       await until(() => scene.reached.length === 1)
@@ -38,16 +38,16 @@
       const [answer] = readAnswers(caller.text(), 'fin')
       assert.is(answer?.status, 200)
       assert.is(answer.body, `answer to ${path}`)
-      // What followed is still answered for itself, after it.
+      // The following bytes get a response of their own, after that of the call.
       const end = await caller.ended
       assert.ok(readAnswers(caller.text(), end).slice(1).every(({ status }) => status === 400 || status === 408))
     })
   })
 
-  test(`a stream without a length does not look complete, followed by ${name}`, async () => {
-    await inScene(async (scene) => {
+  test(`a close-delimited stream whose request is followed by ${name} does not look complete`, async () => {
+    await withScene(async (scene) => {
       const caller = scene.call([{ path: '/stream/unframed/1' }])
-      await until(() => caller.text().length > SEEN_BYTES)
+      await until(() => caller.text().length > RECEIVED_BYTES)
       caller.socket.write(following)
       const end = await Promise.race([caller.ended, sleep(LATE_MS, 'open' as const)])
       assert.is.not(end, 'fin')
@@ -55,9 +55,10 @@
   })
 }
 
-test('a stream without a length is reset when its caller closes one side', async () => {
-  await inScene(async (scene) => {
-    // Silent, since a caller whose own side is closed cannot tell a reset that comes with bytes from an end.
+test('a close-delimited stream is reset when its caller half-closes the connection', async () => {
+  await withScene(async (scene) => {
+    // The stream is silent at that point: a caller that has half-closed its connection cannot tell a
+    // reset that arrives together with bytes from a graceful close.
     const caller = scene.call([{ path: '/stream/quiet/1' }])
     await until(() => caller.text().endsWith('data: piece 2\n\n'))
     caller.socket.end()
@@ -65,8 +66,8 @@
   })
 })
 
-test('requests on one connection are all answered in a stop once they were passed on', async () => {
-  await inScene(async (scene) => {
+test('all forwarded requests of one connection are answered during a shutdown', async () => {
+  await withScene(async (scene) => {
     const caller = scene.call([{ path: '/call/500/a' }, { path: '/call/600/b' }, { path: '/call/700/c' }])
     await until(() => scene.reached.length > 0)
     scene.process.signal('SIGTERM')
@@ -77,17 +78,17 @@
   })
 })
 
-test('nothing is passed on from behind an answer that ends its connection', async () => {
-  await inScene(async (scene) => {
+test('a request pipelined behind a response that ends its connection is not forwarded', async () => {
+  await withScene(async (scene) => {
     const caller = scene.call([{ path: '/stream/unframed/1' }, { path: '/call/0/behind' }])
-    await until(() => caller.text().length > SEEN_BYTES)
+    await until(() => caller.text().length > RECEIVED_BYTES)
     await sleep(100)
     assert.equal(scene.reached, ['/stream/unframed/1'])
   })
 })
 
-test('each call that is passed on from a kept connection in a stop is answered', async () => {
-  await inScene(async (scene) => {
+test('every call forwarded from a keep-alive connection during a shutdown is answered', async () => {
+  await withScene(async (scene) => {
     const answered: string[] = []
     const callInTurn = async (name: number): Promise<void> => {
       const caller = scene.call([{ path: `/call/20/${name}-0` }])
