--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesEndsConnections.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesEndsConnections.test.ts
@@ -19,7 +19,7 @@
 const CALLERS_AT_ONCE = 10
 
 /** Maximum number of connections that a caller opens one after the other; keeps request names distinct. */
-const ROUNDS = 100_000
+const MAX_ROUNDS = 100_000
 const PARTIAL_HEAD = 'GET /call/0/next HTTP/1.1\r\nHost: ends'
 const INVALID_HEAD = 'no head\r\n\r\n'
 
@@ -100,7 +100,7 @@
       for (const { body, looksComplete } of readAnswers(caller.text(), 'rst')) if (looksComplete) answered.push(body)
     }
     const callUntilRefused = async (name: number): Promise<void> => {
-      for (let round = 0; scene.process.isRunning(); round++) await callInTurn(name * ROUNDS + round)
+      for (let round = 0; scene.process.isRunning(); round++) await callInTurn(name * MAX_ROUNDS + round)
     }
     const calls = Promise.all(Array.from({ length: CALLERS_AT_ONCE }, (_, name) => callUntilRefused(name)))
     await sleep(200)
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesEngineFaults.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesEngineFaults.test.ts
@@ -3,7 +3,7 @@
 import { createEngineStandIn } from '../../index.js'
 import { DECODE, PREFILL, REF, eventually, never, prefillAndImport, withEngine } from './BendfallFakesHarness.js'
 
-test('an aborted decode is cut and cancelled at the engine', () => withEngine({ stepMs: 5 }, async (engine, standIn) => {
+test('an aborted decode fails and is cancelled at the engine', () => withEngine({ stepMs: 5 }, async (engine, standIn) => {
   const controller = new AbortController()
   await prefillAndImport(engine)
   const end = await engine.decode({ ...DECODE, maxOutputTokens: 10_000 }, () => controller.abort(), controller.signal)
@@ -20,7 +20,7 @@
   await eventually(() => standIn.state().attempts.length === 0)
 }))
 
-test('a lost cancel is not confirmed and holds the memory until the next', () => withEngine({}, async (engine, standIn) => {
+test('a lost cancel is not confirmed and the memory stays held until the next cancel', () => withEngine({}, async (engine, standIn) => {
   await prefillAndImport(engine)
   standIn.fail({ mode: 'lose_cancel', count: 1 })
   assert.is(await engine.cancel(REF), false)
@@ -30,13 +30,13 @@
   assert.is(standIn.state().usedKvBytes, 0)
 }))
 
-test('a cancel that overtakes its call is kept', () => withEngine({}, async (engine, standIn) => {
+test('a cancel that arrives before its call is remembered', () => withEngine({}, async (engine, standIn) => {
   assert.is(await engine.cancel(REF), true)
   assert.is((await engine.prefill(PREFILL, never)).type, 'failed')
   assert.equal(standIn.state().attempts, [])
 }))
 
-test('a restarted sidecar cancels all that the engine holds', () => withEngine({}, async (engine, standIn) => {
+test('a restarted sidecar cancels all attempts that the engine holds', () => withEngine({}, async (engine, standIn) => {
   await prefillAndImport(engine)
   assert.is(await engine.cancelAll(), true)
   assert.equal(standIn.state().attempts, [])
@@ -57,7 +57,7 @@
   await eventually(() => standIn.state().usedKvBytes === 0)
 }))
 
-test('a sink that stalls before it starts holds the memory until a cancel', () => withEngine({}, async (engine, standIn) => {
+test('an import that stalls before its transfer starts holds memory until a cancel', () => withEngine({}, async (engine, standIn) => {
   const result = await engine.prefill(PREFILL, never)
   if (result.type !== 'done') throw new Error(result.detail)
   standIn.fail({ mode: 'stall_transfer', pathPrefix: '/imports' })
@@ -68,7 +68,7 @@
   assert.equal([standIn.state().usedKvBytes, standIn.state().exports], [0, 0])
 }))
 
-test('a caller that leaves without a cancel frees its attempt where the engine watches for it', () => withEngine({ cancelsWhenLeft: true }, async (engine, standIn) => {
+test('a caller that disconnects without a cancel frees its attempt if the engine detects disconnects', () => withEngine({ cancelsWhenLeft: true }, async (engine, standIn) => {
   await prefillAndImport(engine)
   const body = JSON.stringify({ ...DECODE, maxOutputTokens: 10_000 })
   const controller = new AbortController()
@@ -78,7 +78,7 @@
   await eventually(() => standIn.state().attempts.length === 0)
 }))
 
-test('a source that is gone reads as a lost cache', async () => {
+test('an import from a stopped source reports that the KV cache is lost', async () => {
   const source = await createEngineStandIn({ prefillTokensPerSecond: 1_000_000 })
   await source.close()
   await withEngine({}, async (engine) => {
@@ -87,7 +87,7 @@
   })
 })
 
-test('a crash in a decode cuts the stream and loses the memory', () => withEngine({}, async (engine, standIn) => {
+test('a crash during a decode aborts the stream and loses the memory', () => withEngine({}, async (engine, standIn) => {
   await prefillAndImport(engine)
   standIn.fail({ mode: 'crash_decode', count: 1 })
   const tokens: string[] = []
@@ -98,13 +98,13 @@
 }))
 
 for (const mode of ['garbage', 'half_answer', 'outage'] as const) {
-  test(`a decode under ${mode} fails with a typed outcome`, () => withEngine({}, async (engine, standIn) => {
+  test(`a decode fails with a typed outcome under fault ${mode}`, () => withEngine({}, async (engine, standIn) => {
     await prefillAndImport(engine)
     standIn.fail({ mode, count: 1 })
     assert.is((await engine.decode(DECODE, () => {}, never)).type, 'failed')
   }))
 
-  test(`a prefill, a report and an order under ${mode} fail with typed outcomes`, () => withEngine({}, async (engine, standIn) => {
+  test(`a prefill, a report and an order fail with typed outcomes under fault ${mode}`, () => withEngine({}, async (engine, standIn) => {
     standIn.fail({ mode })
     assert.is((await engine.prefill(PREFILL, never)).type, 'failed')
     assert.is(await engine.report(), undefined)
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesFleet.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesFleet.test.ts
@@ -73,7 +73,7 @@
     logger: SILENT
   })
   const all = [store, ...Object.values(models), ...plain]
-  for (let i = 0; i < 100 && (await ask({ port: READY_PORT, path: '/api/ready' })).status !== 200; i++) await sleep(20)
+  for (let i = 0; i < 100 && (await callEntry({ port: READY_PORT, path: '/api/ready' })).status !== 200; i++) await sleep(20)
   await sleep(300)
   return {
     store,
@@ -89,35 +89,35 @@
   }
 }
 
-interface Answer {
+interface CallerResponse {
   readonly status: number
   readonly headers: Readonly<Record<string, unknown>>
   readonly body: string
-  /** Whether the answer ended as a whole. */
-  readonly isWhole: boolean
+  /** Whether the response arrived completely. */
+  readonly isComplete: boolean
 }
 
-interface Ask {
+interface CallerRequest {
   readonly path: string
   readonly port?: number
   readonly method?: string
   readonly headers?: Readonly<Record<string, string>>
   readonly body?: string
-  /** Leaves after the first bytes. */
+  /** Whether the caller disconnects after the first bytes. */
   readonly leaves?: boolean
 }
 
 let nextId = 1
 
-function ask ({ body, headers = {}, leaves = false, method = 'GET', path, port = CALLERS_PORT }: Ask): Promise<Answer> {
+function callEntry ({ body, headers = {}, leaves = false, method = 'GET', path, port = CALLERS_PORT }: CallerRequest): Promise<CallerResponse> {
   return new Promise((resolve) => {
     let status = 0
     let text = ''
-    let answered: Readonly<Record<string, unknown>> = {}
-    const finish = (isWhole: boolean): void => resolve({ status, headers: answered, body: text, isWhole })
+    let responseHeaders: Readonly<Record<string, unknown>> = {}
+    const finish = (isComplete: boolean): void => resolve({ status, headers: responseHeaders, body: text, isComplete })
     const request = httpRequest({ host: ip(2), port, path, method, agent: false, headers: { host: HOST, 'x-request-id': `r${nextId++}`, ...headers } }, (response) => {
       status = response.statusCode ?? 0
-      answered = response.headers
+      responseHeaders = response.headers
       response.on('data', (chunk: Buffer) => {
         text += chunk.toString()
         if (leaves) request.destroy()
@@ -141,12 +141,12 @@
   for (const replica of [...Object.values(fleet.models), ...fleet.plain]) replica.heal()
 })
 
-test('a prompt is read at a prefill replica and answered by a decode replica', async () => {
-  const answer = await ask({ path: '/s/1?x=1', method: 'POST', body: 'document', headers: PROMPT })
-  assert.is(answer.status, 200)
-  assert.is(answer.isWhole, true)
-  assert.is(answer.body.match(/^id: /gm)?.length, 6)
-  const run = decodes.flatMap(({ seen }) => seen).find(({ requestId }) => requestId === answer.headers['x-request-id'])
+test('a prompt is processed by a prefill replica and answered by a decode replica', async () => {
+  const response = await callEntry({ path: '/s/1?x=1', method: 'POST', body: 'document', headers: PROMPT })
+  assert.is(response.status, 200)
+  assert.is(response.isComplete, true)
+  assert.is(response.body.match(/^id: /gm)?.length, 6)
+  const run = decodes.flatMap(({ seen }) => seen).find(({ requestId }) => requestId === response.headers['x-request-id'])
   assert.match(String(run?.headers['x-kv-source']), /^127\.\d+\.\d+\.11:\d+\/i-p-/)
   assert.is(run?.body, 'document')
   assert.is(run?.path, '/s/1?x=1')
@@ -154,35 +154,35 @@
 })
 
 for (const name of ['x-serving-stage', 'x-kv-source', 'x-expect-instance']) {
-  test(`a caller's ${name} steers nothing`, async () => {
-    assert.is((await ask({ path: '/s/1', method: 'POST', headers: { ...PROMPT, [name]: 'prefill' } })).status, 200)
+  test(`a ${name} header from a caller has no effect`, async () => {
+    assert.is((await callEntry({ path: '/s/1', method: 'POST', headers: { ...PROMPT, [name]: 'prefill' } })).status, 200)
   })
 }
 
 test('a refused run goes to the other decode replica', async () => {
   fleet.models.decodeA.failNext('not_run')
-  const answers = await Promise.all([1, 2].map(() => ask({ path: '/s/1', method: 'POST', headers: PROMPT })))
-  assert.equal(answers.map(({ status }) => status), [200, 200])
+  const responses = await Promise.all([1, 2].map(() => callEntry({ path: '/s/1', method: 'POST', headers: PROMPT })))
+  assert.equal(responses.map(({ status }) => status), [200, 200])
 })
 
-test('a stream that breaks off is cut when it may not be resumed', async () => {
+test('a stream that breaks is aborted if it is not resumable', async () => {
   failAll(decodes, 'break_off')
-  const answer = await ask({ path: '/s/1', method: 'POST', headers: PROMPT })
-  assert.is(answer.isWhole, false)
-  await ask({ path: '/s/1', method: 'POST', headers: PROMPT })
+  const response = await callEntry({ path: '/s/1', method: 'POST', headers: PROMPT })
+  assert.is(response.isComplete, false)
+  await callEntry({ path: '/s/1', method: 'POST', headers: PROMPT })
 })
 
-test('a stream that may be resumed goes on at another replica, each piece once', async () => {
+test('a resumable stream resumes at another replica and delivers each chunk once', async () => {
   fleet.models.decodeA.failNext('break_off')
   fleet.models.decodeB.failNext('break_off')
-  const answer = await ask({ path: '/b/1', method: 'POST', headers: PROMPT })
-  assert.is(answer.body, [1, 2, 3, 4, 5, 6].map((id) => `id: ${id}\ndata: piece ${id}\n\n`).join('').slice(0, answer.body.length))
-  await ask({ path: '/b/1', method: 'POST', headers: PROMPT })
+  const response = await callEntry({ path: '/b/1', method: 'POST', headers: PROMPT })
+  assert.is(response.body, [1, 2, 3, 4, 5, 6].map((id) => `id: ${id}\ndata: piece ${id}\n\n`).join('').slice(0, response.body.length))
+  await callEntry({ path: '/b/1', method: 'POST', headers: PROMPT })
 })
 
-test('a caller that leaves is told to the replica', async () => {
+test('a disconnect of the caller aborts the run at the replica', async () => {
   const before = decodes.flatMap(({ seen }) => seen).length
-  await ask({ path: '/s/1', method: 'POST', headers: PROMPT, leaves: true })
+  await callEntry({ path: '/s/1', method: 'POST', headers: PROMPT, leaves: true })
   await sleep(100)
   const runs = decodes.flatMap(({ seen }) => seen).slice(0)
   assert.ok(runs.length > before)
@@ -190,82 +190,82 @@
 })
 
 for (const fault of ['reset', 'garbled', 'other_request', 'unsigned'] as const) {
-  test(`an idempotent call whose answer is ${fault} is repeated elsewhere`, async () => {
+  test(`an idempotent call is retried at another replica after the response fault ${fault}`, async () => {
     fleet.plain[0]?.failNext(fault)
     const statuses: number[] = []
-    for (let i = 0; i < 6; i++) statuses.push((await ask({ path: '/r/1' })).status)
+    for (let i = 0; i < 6; i++) statuses.push((await callEntry({ path: '/r/1' })).status)
     assert.equal(statuses, [200, 200, 200, 200, 200, 200])
   })
 
-  test(`a call that may not be repeated and whose answer is ${fault} runs once and ends 502`, async () => {
+  test(`a non-idempotent call runs once and fails with 502 after the response fault ${fault}`, async () => {
     failAll(fleet.plain, fault)
     const requestId = `once-${fault}`
-    const answer = await ask({ path: '/k/1', method: 'POST', body: 'x', headers: { 'x-request-id': requestId } })
-    assert.is(answer.status, 502)
+    const response = await callEntry({ path: '/k/1', method: 'POST', body: 'x', headers: { 'x-request-id': requestId } })
+    assert.is(response.status, 502)
     assert.is(runsOf(requestId), 1)
-    await ask({ path: '/r/1' })
-    await ask({ path: '/r/1' })
+    await callEntry({ path: '/r/1' })
+    await callEntry({ path: '/r/1' })
   })
 }
 
-test('a call that was not run goes to another replica, whatever its kind', async () => {
+test('a call that was not run goes to another replica even if it is not idempotent', async () => {
   fleet.plain[0]?.failNext('not_run')
-  assert.is((await ask({ path: '/k/1', method: 'POST' })).status, 200)
-  assert.is((await ask({ path: '/k/1', method: 'POST' })).status, 200)
+  assert.is((await callEntry({ path: '/k/1', method: 'POST' })).status, 200)
+  assert.is((await callEntry({ path: '/k/1', method: 'POST' })).status, 200)
 })
 
-// Back ends that stutter answer twice, the second time on the connection of a later request.
-test('a run goes on from the memory of its own prompt when replicas answer twice', async () => {
+// A faulty replica may send a duplicate response on the connection of a later request.
+test('a run uses the KV memory of its own prompt when replicas send duplicate responses', async () => {
   const { prefill } = fleet.models
   prefill.answerTwice()
-  const asked = Array.from({ length: 8 }, (_, index) => `twice-${index}`)
-  for (const id of asked) await ask({ path: '/s/1', method: 'POST', body: 'document', headers: { ...PROMPT, 'x-request-id': id } })
+  const requestIds = Array.from({ length: 8 }, (_, index) => `twice-${index}`)
+  for (const id of requestIds) await callEntry({ path: '/s/1', method: 'POST', body: 'document', headers: { ...PROMPT, 'x-request-id': id } })
   const owners = new Map(prefill.seen.map(({ handle, requestId }) => [handle, requestId]))
-  const runs = decodes.flatMap(({ seen }) => seen).filter(({ requestId }) => asked.includes(requestId))
-  assert.ok(runs.length >= asked.length)
+  const runs = decodes.flatMap(({ seen }) => seen).filter(({ requestId }) => requestIds.includes(requestId))
+  assert.ok(runs.length >= requestIds.length)
   for (const { headers, requestId } of runs) {
     const handle = String(headers['x-kv-source'] ?? '').split('/')[1]
     if (handle !== undefined) assert.is(owners.get(handle), requestId)
   }
 })
 
-test('a caller gets its own answer or none when replicas answer twice', async () => {
+test('a caller gets its own response or none when replicas send duplicate responses', async () => {
   for (const replica of fleet.plain) replica.answerTwice()
   for (let i = 0; i < 12; i++) {
     const id = `stutter-${i}`
-    const answer = await ask({ path: '/k/1', method: 'POST', body: 'x', headers: { 'x-request-id': id } })
-    assert.ok(answer.status === 502 || (answer.status === 200 && answer.body === `answer to ${id}`), `${answer.status} ${answer.body}`)
+    const response = await callEntry({ path: '/k/1', method: 'POST', body: 'x', headers: { 'x-request-id': id } })
+    assert.ok(response.status === 502 || (response.status === 200 && response.body === `answer to ${id}`), `${response.status} ${response.body}`)
     assert.is(runsOf(id), 1)
   }
 })
 
-test('a refusal that comes twice does not speak for the request behind it', async () => {
+test('a duplicate refusal does not apply to the next request', async () => {
   for (const replica of fleet.plain) replica.answerTwice()
   for (let i = 0; i < 12; i++) {
     fleet.plain[i % 2]?.failNext('not_run')
     const id = `refused-${i}`
-    const answer = await ask({ path: '/k/1', method: 'POST', body: 'x', headers: { 'x-request-id': id } })
+    const response = await callEntry({ path: '/k/1', method: 'POST', body: 'x', headers: { 'x-request-id': id } })
     const refusals = fleet.plain.flatMap(({ seen }) => seen).filter(({ isRefused, requestId }) => isRefused && requestId === id).length
     assert.ok(runsOf(id) - refusals <= 1)
-    if (answer.status === 503) assert.is(runsOf(id), refusals)
+    if (response.status === 503) assert.is(runsOf(id), refusals)
   }
 })
 
-const BAD: ReadonlyArray<readonly [string, Ask, number]> = [
+const REJECTED_REQUESTS: ReadonlyArray<readonly [string, CallerRequest, number]> = [
   ['a path without a route', { path: '/none/' }, 404],
-  ['a deadline that is no number', { path: '/r/1', headers: { 'x-deadline-ms': 'soon' } }, 400],
+  ['a deadline that is not a number', { path: '/r/1', headers: { 'x-deadline-ms': 'soon' } }, 400],
   ['a deadline of 0', { path: '/r/1', headers: { 'x-deadline-ms': '0' } }, 503],
   ['a malformed prompt prefix', { path: '/s/1', headers: { ...PROMPT, 'x-prompt-prefix': 'zz' } }, 400],
   ['a body over the limit', { path: '/k/1', method: 'POST', body: 'x'.repeat(100_001) }, 413],
   ['headers over the limit', { path: '/r/1', headers: { 'x-long': 'x'.repeat(5_000) } }, 431]
 ]
-for (const [what, request, status] of BAD) {
-  test(`${what} is answered ${status}`, async () => {
-    assert.is((await ask(request)).status, status)
+for (const [what, request, status] of REJECTED_REQUESTS) {
+  test(`${what} is answered with ${status}`, async () => {
+    assert.is((await callEntry(request)).status, status)
   })
 }
 
-test('a request smuggled in a body runs nowhere', async () => {
+test('a request smuggled in a body is not run', async () => {
   const socket = connect(CALLERS_PORT, ip(2))
   const inner = `GET /r/2 HTTP/1.1\r\nHost: ${HOST}\r\nX-Request-Id: smuggled\r\n\r\n`
   socket.write(`POST /k/1 HTTP/1.1\r\nHost: ${HOST}\r\nX-Request-Id: outer\r\nContent-Length: ${inner.length}\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n${inner}`)
@@ -275,7 +275,7 @@
   assert.is(runsOf('smuggled'), 0)
 })
 
-test('half a body is never sent on', async () => {
+test('a request with an incomplete body is not forwarded', async () => {
   const socket = connect(CALLERS_PORT, ip(2))
   socket.write(`POST /k/1 HTTP/1.1\r\nHost: ${HOST}\r\nX-Request-Id: half\r\nContent-Length: 100\r\n\r\nhalf`)
   await sleep(100)
@@ -284,40 +284,40 @@
   assert.is(runsOf('half'), 0)
 })
 
-test('a configuration is in force as soon as it is written, also after history was lost', async () => {
+test('a configuration takes effect soon after it is written, even after the watch history was lost', async () => {
   fleet.store.compact()
   fleet.store.put('op/config', { ...CONFIG, version: 9, routes: [...CONFIG.routes, { ...CONFIG.routes[2], name: 'new', 'path-prefix': '/new/' }] })
-  for (let i = 0; i < 60 && (await ask({ path: '/new/1' })).status !== 200; i++) await sleep(20)
-  assert.is((await ask({ path: '/new/1' })).status, 200)
+  for (let i = 0; i < 60 && (await callEntry({ path: '/new/1' })).status !== 200; i++) await sleep(20)
+  assert.is((await callEntry({ path: '/new/1' })).status, 200)
 })
 
-test('an older configuration is not taken', async () => {
+test('an older configuration is ignored', async () => {
   fleet.store.put('op/config', { ...CONFIG, version: 4, routes: [] })
   await sleep(100)
-  assert.is((await ask({ path: '/r/1' })).status, 200)
+  assert.is((await callEntry({ path: '/r/1' })).status, 200)
 })
 
-test('an outage of the store stops nothing', async () => {
+test('requests are served during an outage of the store', async () => {
   fleet.store.fail(503)
   await sleep(300)
-  assert.is((await ask({ path: '/s/1', method: 'POST', headers: PROMPT })).status, 200)
+  assert.is((await callEntry({ path: '/s/1', method: 'POST', headers: PROMPT })).status, 200)
   fleet.store.fail(undefined)
 })
 
-test('a replica that drains gets no more requests', async () => {
+test('a draining replica gets no more requests', async () => {
   fleet.store.put('servers/i-x', { service: 'app', address: fleet.plain[0]?.address, zone: 'a', slots: 6, state: 'draining', seq: 2 })
   await sleep(700)
   const before = fleet.plain[0]?.seen.length
-  for (let i = 0; i < 10; i++) await ask({ path: '/r/1' })
+  for (let i = 0; i < 10; i++) await callEntry({ path: '/r/1' })
   assert.is(fleet.plain[0]?.seen.length, before)
 })
 
-test('a process that stops says so, and finishes what runs', async () => {
-  const running = ask({ path: '/s/1', method: 'POST', headers: PROMPT })
+test('a process that shuts down reports that it is not ready and completes running requests', async () => {
+  const running = callEntry({ path: '/s/1', method: 'POST', headers: PROMPT })
   await sleep(20)
   const closed = fleet.close()
-  assert.is((await ask({ port: READY_PORT, path: '/api/ready' })).status, 503)
-  assert.is((await running).isWhole, true)
+  assert.is((await callEntry({ port: READY_PORT, path: '/api/ready' })).status, 503)
+  assert.is((await running).isComplete, true)
   await closed
 })
 
