--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAllotments.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAllotments.test.ts
@@ -37,7 +37,7 @@
 // a delay was granted before the window.
 function maxWindowTokens (runs: readonly CustomerRun[]): number {
   const tokensByWindow = runs.map(({ sentMs }) => runs.filter((run) => run.sentMs >= sentMs && run.atMs < sentMs + ALLOTMENT_BOUNDS.windowMs).reduce((sum, { tokens }) => sum + tokens, 0))
-  return Math.max(0, ...inWindow)
+  return Math.max(0, ...tokensByWindow)
 }
 
 const BOUND_TOKENS = (LIMIT['rate-per-s'] * ALLOTMENT_BOUNDS.windowMs / 1_000 + LIMIT.burst) * (1 + ALLOTMENT_BOUNDS.overShare) + ALLOTMENT_BOUNDS.slackUnits
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesCrashingRequest.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesCrashingRequest.test.ts
@@ -24,9 +24,9 @@
     await sleep(CALL_INTERVAL_MS)
   }
   const thirdCrashMs = crashes[MIN_CRASHES - 1] ?? Infinity
-  const late = arrivals(POISON_PATH).filter((atMs) => atMs > thirdCrashMs + PROPAGATION_MS)
+  const lateSends = arrivals(POISON_PATH).filter((atMs) => atMs > thirdCrashMs + PROPAGATION_MS)
   assert.ok(crashes.length >= MIN_CRASHES, `${crashes.length} crashes`)
-  assert.ok(late.length <= MAX_LATE_SENDS, `${late.length} sends later, ${crashes.length} crashes in all`)
+  assert.ok(lateSends.length <= MAX_LATE_SENDS, `${lateSends.length} sends later, ${crashes.length} crashes in all`)
 }))
 
 test('a restarted entry refuses a request that crashed three replicas until an operator clears the crash records', () => inCrashScene(2, REPLICAS, async ({ arrivals, crashes, entries, store }) => {
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesEnds.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesEnds.test.ts
@@ -17,7 +17,7 @@
 
 /** Enough to reveal a single graceful close among several hundred resets. */
 const BROKEN_STREAMS = 500
-const CALLERS_AT_ONCE = 10
+const CONCURRENT_CALLERS = 10
 
 /** Number of 250 KB responses, more than one connection can buffer: the kernel accepted 16 of them. */
 const SLOW_CALLS = 40
@@ -133,7 +133,7 @@
         assert.match(caller.text(), /^HTTP\/1.1 200 OK\r\n/)
       }
     }
-    await Promise.all(Array.from({ length: CALLERS_AT_ONCE }, callInTurn))
+    await Promise.all(Array.from({ length: CONCURRENT_CALLERS }, callInTurn))
     assert.equal(ends, { fin: 0, rst: BROKEN_STREAMS })
   })
 })
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesEndsConnections.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesEndsConnections.test.ts
@@ -16,7 +16,7 @@
 const LATE_MS = 2_800
 
 const RECEIVED_BYTES = 100
-const CALLERS_AT_ONCE = 10
+const CONCURRENT_CALLERS = 10
 
 /** Maximum number of connections that a caller opens one after the other; keeps request names distinct. */
 const MAX_ROUNDS = 100_000
@@ -102,7 +102,7 @@
     const callUntilRefused = async (name: number): Promise<void> => {
       for (let round = 0; scene.process.isRunning(); round++) await callInTurn(name * MAX_ROUNDS + round)
     }
-    const calls = Promise.all(Array.from({ length: CALLERS_AT_ONCE }, (_, name) => callUntilRefused(name)))
+    const calls = Promise.all(Array.from({ length: CONCURRENT_CALLERS }, (_, name) => callUntilRefused(name)))
     await sleep(200)
     for (const signal of ['SIGTERM', 'SIGHUP', 'SIGTERM'] as const) {
       process.kill(scene.process.pid, signal)
@@ -111,7 +111,7 @@
     await calls
     assert.is(await scene.process.exited, 0)
     const bodies = new Set(answered)
-    assert.ok(scene.reached.length > CALLERS_AT_ONCE)
+    assert.ok(scene.reached.length > CONCURRENT_CALLERS)
     assert.equal(scene.reached.filter((path) => !bodies.has(`answer to ${path}`)), [])
   })
 })
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesEra.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesEra.test.ts
@@ -6,7 +6,7 @@
 import { startFleetStore } from '../../fleet/BendfallFakesFleetStore.js'
 import { ip } from './EntryScene.js'
 
-const RESTORE = { copyAgeMs: 0, awayMs: 30 }
+const DRILL = { copyAgeMs: 0, awayMs: 30 }
 
 async function withStore (run: (store: FleetStore, port: KeyValuePort) => Promise<void>): Promise<void> {
   const store = await startFleetStore(ip(1))
@@ -70,7 +70,7 @@
   await withStore(async (store, port) => {
     store.put('servers/a', 1)
     const waiting = port.watch('servers/', await readRevision(port, 'servers/a'), 2_000)
-    await store.restore(RESTORE)
+    await store.restore(DRILL)
     await port.get('servers/a')
     const outcome = await waiting
     assert.ok(outcome.type === 'history_lost' || outcome.type === 'unavailable', outcome.type)
@@ -81,7 +81,7 @@
   await withStore(async (store, port) => {
     store.put('x', 1)
     const revision = await readRevision(port, 'x')
-    await store.restore(RESTORE)
+    await store.restore(DRILL)
     await port.get('x')
     assert.is((await port.compareAndSwap({ key: 'x', expectedRevision: revision, value: '2', leaseId: '' })).type, 'conflict')
   })
@@ -92,8 +92,8 @@
     const eraChanges: object[] = []
     await port.get('x')
     port.onEra?.((change) => eraChanges.push(change))
-    await store.restore(RESTORE)
-    await store.restore(RESTORE)
+    await store.restore(DRILL)
+    await store.restore(DRILL)
     await port.get('x')
     await port.list('servers/')
     assert.equal(eraChanges, [{ era: 3, formerEra: 1 }])
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesFleet.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesFleet.test.ts
@@ -134,7 +134,7 @@
 
 const fleet = await startFleet()
 const decodes = [fleet.models.decodeA, fleet.models.decodeB]
-const runsOf = (requestId: unknown): number => [...decodes, ...fleet.plain].flatMap(({ seen }) => seen).filter((one) => one.kind === 'run' && one.requestId === requestId).length
+const countRuns = (requestId: unknown): number => [...decodes, ...fleet.plain].flatMap(({ seen }) => seen).filter((one) => one.kind === 'run' && one.requestId === requestId).length
 const failAll = (replicas: readonly FleetReplica[], fault: FleetReplicaFault): void => replicas.forEach((replica) => replica.failNext(fault))
 
 test.before.each(() => {
@@ -202,7 +202,7 @@
     const requestId = `once-${fault}`
     const response = await callEntry({ path: '/k/1', method: 'POST', body: 'x', headers: { 'x-request-id': requestId } })
     assert.is(response.status, 502)
-    assert.is(runsOf(requestId), 1)
+    assert.is(countRuns(requestId), 1)
     await callEntry({ path: '/r/1' })
     await callEntry({ path: '/r/1' })
   })
@@ -235,7 +235,7 @@
     const id = `stutter-${i}`
     const response = await callEntry({ path: '/k/1', method: 'POST', body: 'x', headers: { 'x-request-id': id } })
     assert.ok(response.status === 502 || (response.status === 200 && response.body === `answer to ${id}`), `${response.status} ${response.body}`)
-    assert.is(runsOf(id), 1)
+    assert.is(countRuns(id), 1)
   }
 })
 
@@ -246,8 +246,8 @@
     const id = `refused-${i}`
     const response = await callEntry({ path: '/k/1', method: 'POST', body: 'x', headers: { 'x-request-id': id } })
     const refusals = fleet.plain.flatMap(({ seen }) => seen).filter(({ isRefused, requestId }) => isRefused && requestId === id).length
-    assert.ok(runsOf(id) - refusals <= 1)
-    if (response.status === 503) assert.is(runsOf(id), refusals)
+    assert.ok(countRuns(id) - refusals <= 1)
+    if (response.status === 503) assert.is(countRuns(id), refusals)
   }
 })
 
@@ -272,7 +272,7 @@
   socket.on('error', () => {})
   await sleep(150)
   socket.destroy()
-  assert.is(runsOf('smuggled'), 0)
+  assert.is(countRuns('smuggled'), 0)
 })
 
 test('a request with an incomplete body is not forwarded', async () => {
@@ -281,7 +281,7 @@
   await sleep(100)
   socket.destroy()
   await sleep(50)
-  assert.is(runsOf('half'), 0)
+  assert.is(countRuns('half'), 0)
 })
 
 test('a configuration takes effect soon after it is written, even after the watch history was lost', async () => {
