--- a/packages/bendfall-fakes/src/BendfallFakesCapacity.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesCapacity.ts
@@ -12,7 +12,7 @@
 import { sumRows } from './capacity/BendfallFakesCapacityRow.js'
 import { serviceRows, watcherRows } from './capacity/BendfallFakesCapacityServiceRows.js'
 import { homeRows, sidecarRows } from './capacity/BendfallFakesCapacitySidecarRows.js'
-import { formatProduct, formatRemedies, formatSlopes } from './capacity/BendfallFakesCapacityTable.js'
+import { formatCosts, formatRemedies, formatSlopes } from './capacity/BendfallFakesCapacityTable.js'
 
 const { facts, slopes } = await measureFacts(process.memoryUsage().rss)
 const rows = [...entryRows(facts), ...sidecarRows(facts), ...homeRows(facts), ...watcherRows(facts), ...serviceRows(facts)]
@@ -20,6 +20,6 @@
 console.log(`Node.js ${process.version}, ${cpus().length} cores, load average ${loadavg()[0].toFixed(1)} at the end of the measurements.\n`)
 console.log(`## Slopes\n\n${formatSlopes(slopes)}\n`)
 console.log(`## Constants\n\n${JSON.stringify({ ...facts.wireBytes, ...facts.constants, ...facts.timings, config: facts.configBytes }, undefined, 2)}\n`)
-console.log(`## Costs at target size\n\n${formatProduct(rows)}\n`)
-console.log(`## Totals\n\n${formatProduct(sumRows(rows))}\n`)
+console.log(`## Costs at target size\n\n${formatCosts(rows)}\n`)
+console.log(`## Totals\n\n${formatCosts(sumRows(rows))}\n`)
 console.log(`## Remedies\n\n${formatRemedies(remedies(facts))}`)
--- a/packages/bendfall-fakes/src/BendfallFakesCluster.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesCluster.ts
@@ -11,7 +11,7 @@
 import { request } from 'undici'
 import { confirmIntent } from './BendfallFakesDemoOperator.js'
 import type { ListeningProcess, ProcessSignal } from './BendfallFakesDemoProcess.js'
-import { listInstances, startFleet, untilInForce } from './BendfallFakesDemoSetup.js'
+import { replaceInstanceList, startFleet, waitUntilInForce } from './BendfallFakesDemoSetup.js'
 import type { Fleet, FleetPlan, RunningNode } from './BendfallFakesDemoSetup.js'
 import type { EngineState } from './BendfallFakesEngine.js'
 import type { Fault } from './BendfallFakesFaults.js'
@@ -44,9 +44,9 @@
   /** Kills the stand-in of an upstream with SIGKILL. */
   readonly killUpstream: (instanceId: string) => Promise<void>
   /** Injects a fault into a stand-in, given by upstream instance or as `key-value` or `instances`. */
-  readonly fail: (name: string, fault: Fault) => Promise<void>
+  readonly injectFault: (name: string, fault: Fault) => Promise<void>
   /** Clears all faults of a stand-in. */
-  readonly heal: (name: string) => Promise<void>
+  readonly clearFaults: (name: string) => Promise<void>
   readonly engine: (instanceId: string) => Promise<EngineState>
   readonly service: (instanceId: string) => Promise<ServiceRuns>
   /** Reads how many calls of each kind the key-value stand-in received. */
@@ -77,7 +77,7 @@
   const fleet = await startFleet(plan)
   try {
     const { version } = await confirmIntent(fleet, intent)
-    await untilInForce(fleet, version)
+    await waitUntilInForce(fleet, version)
     return createCluster(fleet, version)
   } catch (error) {
     await fleet.kill()
@@ -115,15 +115,15 @@
     terminate: (instanceId) => signalAndWait(node(instanceId).process, 'SIGTERM'),
     restart: async (instanceId) => { nodes.set(instanceId, await node(instanceId).restart()) },
     killUpstream: async (instanceId) => { await signalAndWait(standIn(instanceId), 'SIGKILL') },
-    fail: async (name, fault) => { await callControl(standIn(name), 'fail', fault) },
-    heal: async (name) => { await callControl(standIn(name), 'reset', {}) },
+    injectFault: async (name, fault) => { await callControl(standIn(name), 'fail', fault) },
+    clearFaults: async (name) => { await callControl(standIn(name), 'reset', {}) },
     engine: async (instanceId) => await callControl(standIn(instanceId), 'state') as EngineState,
     service: async (instanceId) => await callControl(standIn(instanceId), 'runs') as ServiceRuns,
     keyValueCalls: async () => await callControl(fleet.keyValue, 'calls') as KeyValueCalls,
     list: async (instanceId, state, lagMs) => {
       if (state === 'absent') records.delete(instanceId)
       else records.set(instanceId, { ...node(instanceId).record, state })
-      await listInstances(fleet.instanceListUrl, [...records.values()], lagMs)
+      await replaceInstanceList(fleet.instanceListUrl, [...records.values()], lagMs)
     },
     status,
     configVersion: async (instanceId) => (JSON.parse((await status(instanceId)).reconcileJson) as { readonly configVersion: number }).configVersion,
--- a/packages/bendfall-fakes/src/BendfallFakesClusterCalls.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesClusterCalls.ts
@@ -9,7 +9,7 @@
 import type { Outcome } from 'bendfall-core'
 import { BOOKING_PATH, CLUSTER_CLIENT, CLUSTER_MODEL } from './BendfallFakesClusterPlan.js'
 import { callService, streamChat } from './BendfallFakesDemoCalls.js'
-import type { ChatCall, StreamedAnswer } from './BendfallFakesDemoCalls.js'
+import type { ChatCall, StreamedResponse } from './BendfallFakesDemoCalls.js'
 import { expectedTokens } from './BendfallFakesEngineDecode.js'
 
 /** Outcome of a call as its caller sees it. */
@@ -58,12 +58,12 @@
   return expectedTokens(`user: ${prompt}\n`, maxTokens).join('')
 }
 
-function judgeStream (response: StreamedAnswer, expected: string): CallVerdict {
-  const { requestId, status, text, whole, refusal } = response
+function judgeStream (response: StreamedResponse, expected: string): CallVerdict {
+  const { requestId, status, text, isComplete, refusal } = response
   const violation = (detail: string): CallVerdict => ({ type: 'violation', requestId, detail: `${detail}\nexpected ${expected}\ngot      ${text}\nrefusal ${refusal}` })
   if (!expected.startsWith(text)) return violation('text that does not belong to this request')
-  if (whole && refusal !== '') return violation('both a complete response and a refusal')
-  if (whole) return text === expected ? { type: 'answered', requestId, status, body: text } : violation('partial response marked as complete')
+  if (isComplete && refusal !== '') return violation('both a complete response and a refusal')
+  if (isComplete) return text === expected ? { type: 'answered', requestId, status, body: text } : violation('partial response marked as complete')
   if (refusal === '') return { type: 'broken', detail: 'the stream ended without an end marker' }
   const verdict = parseRefusal(refusal)
   if (verdict.type === 'refused' && verdict.outcome === 'not_run' && text !== '') return violation('outcome not_run after output')
--- a/packages/bendfall-fakes/src/BendfallFakesClusterFaults.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesClusterFaults.ts
@@ -22,9 +22,9 @@
 }
 
 /** Clears an injected fault. */
-export type HealFault = () => Promise<void>
+export type ClearFault = () => Promise<void>
 
-type InjectFault = (cluster: Cluster, instanceId: string) => Promise<HealFault>
+type InjectFault = (cluster: Cluster, instanceId: string) => Promise<ClearFault>
 
 const SLOW_MS = 500
 const STOP_TIMEOUT_MS = 35_000
@@ -32,8 +32,8 @@
 function atStandIn (fault: Fault, standIn?: string): InjectFault {
   return async (cluster, instanceId) => {
     const name = standIn ?? instanceId
-    await cluster.fail(name, fault)
-    return () => cluster.heal(name)
+    await cluster.injectFault(name, fault)
+    return () => cluster.clearFaults(name)
   }
 }
 
@@ -94,7 +94,7 @@
  * @param fault - kind of fault and affected instance
  * @returns a function that clears the fault
  */
-export function inflictFault (cluster: Cluster, { kind, instanceId }: ClusterFault): Promise<HealFault> {
+export function injectClusterFault (cluster: Cluster, { kind, instanceId }: ClusterFault): Promise<ClearFault> {
   return INJECTORS[kind](cluster, instanceId)
 }
 
--- a/packages/bendfall-fakes/src/BendfallFakesClusterTruth.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesClusterTruth.ts
@@ -21,7 +21,7 @@
  * @param bookings - all bookings made, with unique names
  * @returns a description of each violation; empty when there is none
  */
-export async function findFalseBookings (cluster: Cluster, bookings: readonly BookingRecord[]): Promise<string[]> {
+export async function findBookingViolations (cluster: Cluster, bookings: readonly BookingRecord[]): Promise<string[]> {
   const services = cluster.instanceIds.filter((instanceId) => cluster.node(instanceId).record.pool === 'freight')
   const counts = await Promise.all(services.map((instanceId) => cluster.service(instanceId)))
   const runsOf = (name: string): number => counts.reduce((sum, { byPath }) => sum + (byPath[`POST ${BOOKING_PATH}/${name}`] ?? 0), 0)
@@ -48,7 +48,7 @@
  * @param verdicts - verdicts on all chat completions
  * @returns a description of each violation; empty when there is none
  */
-export async function findFalseChats (cluster: Cluster, verdicts: readonly CallVerdict[]): Promise<string[]> {
+export async function findChatViolations (cluster: Cluster, verdicts: readonly CallVerdict[]): Promise<string[]> {
   const engines = [...cluster.fleet.upstreams.keys()].filter((instanceId) => !instanceId.startsWith('freight'))
   const states = await Promise.all(engines.map((instanceId) => cluster.engine(instanceId)))
   const worked = new Set(states.flatMap(({ requestIds }) => requestIds))
--- a/packages/bendfall-fakes/src/BendfallFakesClusterVersions.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesClusterVersions.ts
@@ -13,7 +13,7 @@
 export interface VersionReport {
   readonly samples: number
   /** Each case in which a process returned to a version older than its own or than the one in force everywhere. */
-  readonly reverts: readonly string[]
+  readonly regressions: readonly string[]
 }
 
 /** A running sampling. */
@@ -32,7 +32,7 @@
 export function watchVersions (cluster: Cluster): VersionWatch {
   const highest = new Map<number, number>()
   const latest = new Map<string, number>()
-  const reverts: string[] = []
+  const regressions: string[] = []
   let inForceEverywhere = 0
   let samples = 0
   const stopped = new AbortController()
@@ -41,8 +41,8 @@
   function recordSample (instanceId: string, pid: number, version: number, floor: number): void {
     const previous = highest.get(pid) ?? 0
     samples += 1
-    if (version < previous) reverts.push(`${instanceId}: version ${version} after ${previous}`)
-    if (version > 0 && version < floor) reverts.push(`${instanceId}: version ${version}, although ${floor} was in force everywhere`)
+    if (version < previous) regressions.push(`${instanceId}: version ${version} after ${previous}`)
+    if (version > 0 && version < floor) regressions.push(`${instanceId}: version ${version}, although ${floor} was in force everywhere`)
     highest.set(pid, Math.max(previous, version))
     latest.set(instanceId, version)
     if (latest.size === cluster.instanceIds.length) inForceEverywhere = Math.max(inForceEverywhere, Math.min(...latest.values()))
@@ -64,7 +64,7 @@
     stop: async () => {
       stopped.abort()
       await sampling
-      return { samples, reverts }
+      return { samples, regressions }
     }
   }
 }
--- a/packages/bendfall-fakes/src/BendfallFakesDemo.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesDemo.ts
@@ -8,9 +8,9 @@
 import type { Intent } from 'bendfall-core'
 import { createConnections, formatTimeline, mergeTimelines } from 'bendfall-node'
 import { callService, streamChat } from './BendfallFakesDemoCalls.js'
-import type { StreamedAnswer } from './BendfallFakesDemoCalls.js'
+import type { StreamedResponse } from './BendfallFakesDemoCalls.js'
 import { confirmIntent } from './BendfallFakesDemoOperator.js'
-import { startFleet, untilHomesHeld, untilInForce } from './BendfallFakesDemoSetup.js'
+import { startFleet, waitUntilHomesHeld, waitUntilInForce } from './BendfallFakesDemoSetup.js'
 import type { Fleet, FleetPlan } from './BendfallFakesDemoSetup.js'
 
 const MODEL = 'tender-digest'
@@ -51,9 +51,9 @@
     const { planText, confirmText, version } = await confirmIntent(fleet, INTENT)
     print('plan', planText)
     print('confirmation', confirmText)
-    await untilInForce(fleet, version)
+    await waitUntilInForce(fleet, version)
     const addresses = fleet.entries.map(({ process }) => process.listening.callers)
-    await Promise.all([untilHomesHeld(fleet, SERVICE_POOL), runChats(addresses)])
+    await Promise.all([waitUntilHomesHeld(fleet, SERVICE_POOL), runChats(addresses)])
     await runBooking(addresses)
   } finally {
     print('timeline', await readTimeline(fleet))
@@ -79,10 +79,10 @@
   if (booked.status !== 200 || repeated.body !== booked.body) throw new Error('the booking failed, or its repetition returned a different response')
 }
 
-function printStream (title: string, response: StreamedAnswer): void {
-  if (!response.whole) throw new Error(`${title}: status ${response.status} ${response.refusal}`)
-  const { text, pieces, firstOutputMs, totalMs } = response
-  print(title, `${text}\n(${pieces} chunks, first after ${Math.round(firstOutputMs)} ms, last after ${Math.round(totalMs)} ms)`)
+function printStream (title: string, response: StreamedResponse): void {
+  if (!response.isComplete) throw new Error(`${title}: status ${response.status} ${response.refusal}`)
+  const { text, chunkCount, firstOutputMs, totalMs } = response
+  print(title, `${text}\n(${chunkCount} chunks, first after ${Math.round(firstOutputMs)} ms, last after ${Math.round(totalMs)} ms)`)
 }
 
 async function readTimeline (fleet: Fleet): Promise<string> {
--- a/packages/bendfall-fakes/src/BendfallFakesDemoCalls.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesDemoCalls.ts
@@ -8,21 +8,21 @@
 import { request } from 'undici'
 
 /** Response of a plain service, or a refusal. */
-export interface ServiceAnswer {
+export interface ServiceResponse {
   readonly status: number
   readonly body: string
 }
 
 /** Result of a streamed chat completion. */
-export interface StreamedAnswer {
+export interface StreamedResponse {
   /** Request id from the events of the stream; empty when there was none. */
   readonly requestId: string
   readonly status: number
   readonly text: string
   /** Number of events with output. */
-  readonly pieces: number
+  readonly chunkCount: number
   /** True when the stream contained its end marker `[DONE]`. */
-  readonly whole: boolean
+  readonly isComplete: boolean
   /** Time from the request to the first output. */
   readonly firstOutputMs: number
   readonly totalMs: number
@@ -57,7 +57,7 @@
  * @param call - parameters of the request
  * @returns the response, or a refusal with empty text
  */
-export async function streamChat (address: string, call: ChatCall): Promise<StreamedAnswer> {
+export async function streamChat (address: string, call: ChatCall): Promise<StreamedResponse> {
   const startedAtMs = performance.now()
   const response = await request(`http://${address}/v1/chat/completions`, {
     method: 'POST',
@@ -65,7 +65,7 @@
     body: JSON.stringify({ model: call.model, messages: [{ role: 'user', content: call.prompt }], max_tokens: call.maxTokens, stream: true }),
     signal: call.signal
   })
-  const emptyResult = { requestId: '', refusal: '', text: '', pieces: 0, whole: false, firstOutputMs: 0 }
+  const emptyResult = { requestId: '', refusal: '', text: '', chunkCount: 0, isComplete: false, firstOutputMs: 0 }
   if (response.statusCode !== 200) {
     const refusal = await response.body.text()
     return { ...emptyResult, status: response.statusCode, refusal, totalMs: performance.now() - startedAtMs }
@@ -75,7 +75,7 @@
     if (!line.startsWith('data: ')) continue
     const data = line.slice('data: '.length)
     if (data === '[DONE]') {
-      result.whole = true
+      result.isComplete = true
       continue
     }
     const event = JSON.parse(data) as StreamEvent
@@ -84,8 +84,8 @@
     const text = event.choices?.[0]?.delta.content
     if (text === undefined) continue
     call.onText?.(text)
-    if (result.pieces === 0) result.firstOutputMs = performance.now() - startedAtMs
-    result.pieces += 1
+    if (result.chunkCount === 0) result.firstOutputMs = performance.now() - startedAtMs
+    result.chunkCount += 1
     result.text += text
   }
   return { ...result, status: response.statusCode, totalMs: performance.now() - startedAtMs }
@@ -109,7 +109,7 @@
  * @param call - method, path, headers and body of the call
  * @returns the response or refusal
  */
-export async function callService (address: string, call: ServiceCall): Promise<ServiceAnswer> {
+export async function callService (address: string, call: ServiceCall): Promise<ServiceResponse> {
   const response = await request(`http://${address}${call.path}`, {
     method: call.method,
     headers: {
--- a/packages/bendfall-fakes/src/BendfallFakesDemoOperator.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesDemoOperator.ts
@@ -37,13 +37,13 @@
 }
 
 /** Exit code and output of a command. */
-export interface CommandEnd {
+export interface CommandResult {
   readonly exitCode: number
   readonly output: string
 }
 
 /** Runs a command of `bendfallctl` on an intent. */
-export type IntentCommand = (command: 'confirm' | 'plan', ...options: readonly string[]) => Promise<CommandEnd>
+export type IntentCommand = (command: 'confirm' | 'plan', ...options: readonly string[]) => Promise<CommandResult>
 
 /**
  * Plans an intent and confirms the plan.
@@ -82,7 +82,7 @@
   }
 }
 
-async function runCtl (args: readonly string[]): Promise<CommandEnd> {
+async function runCtl (args: readonly string[]): Promise<CommandResult> {
   const env = { ...process.env, CONSOLA_LEVEL: DEBUG_LEVEL }
   const running = run(process.execPath, [CTL_MODULE, ...args], { env })
   const watchdog = killWhenLate(running.child)
@@ -113,7 +113,7 @@
   return { cause: () => cause, cancel: () => clearTimeout(timer) }
 }
 
-function outputOf ({ exitCode, output }: CommandEnd): string {
+function outputOf ({ exitCode, output }: CommandResult): string {
   if (exitCode !== 0) throw new Error(`command exited with code ${exitCode}: ${output}`)
   return output
 }
--- a/packages/bendfall-fakes/src/BendfallFakesDemoProcess.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesDemoProcess.ts
@@ -66,7 +66,7 @@
   const listening = new Promise<Record<string, string>>((resolve) => {
     createInterface({ input: child.stdout }).on('line', (line) => {
       lines.push(line)
-      const pairs = readPairs(line)
+      const pairs = parseKeyValuePairs(line)
       if (pairs.event === readyEvent) resolve(pairs)
     })
   })
@@ -109,7 +109,7 @@
  * @param line - the line; values may be quoted as JSON strings
  * @returns the values by key
  */
-export function readPairs (line: string): Record<string, string> {
+export function parseKeyValuePairs (line: string): Record<string, string> {
   const pairs = line.matchAll(/([A-Za-z_]\w*)=("(?:[^"\\]|\\.)*"|\S*)/g)
   return Object.fromEntries([...pairs].map(([, key, value]) => [key, value.startsWith('"') ? JSON.parse(value) : value]))
 }
--- a/packages/bendfall-fakes/src/BendfallFakesDemoSetup.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesDemoSetup.ts
@@ -142,7 +142,7 @@
     stop: () => stopAll(resources),
     kill: () => killAll(resources)
   }
-  await listInstances(platform.instanceListUrl, [...fleet.sidecars, ...fleet.entries].map(({ record }) => record))
+  await replaceInstanceList(platform.instanceListUrl, [...fleet.sidecars, ...fleet.entries].map(({ record }) => record))
   return fleet
 }
 
@@ -173,7 +173,7 @@
  * @param version - version of the configuration
  * @throws Error when this does not happen in time
  */
-export async function untilInForce (fleet: Fleet, version: number): Promise<void> {
+export async function waitUntilInForce (fleet: Fleet, version: number): Promise<void> {
   const connections = createConnections(CONNECT_TIMEOUT_MS)
   const nodes = [...fleet.entries, ...fleet.sidecars]
   const deadlineMs = performance.now() + IN_FORCE_TIMEOUT_MS
@@ -198,7 +198,7 @@
  * @param pool - a pool of plain services
  * @throws Error when this does not happen in time
  */
-export async function untilHomesHeld (fleet: Fleet, pool: string): Promise<void> {
+export async function waitUntilHomesHeld (fleet: Fleet, pool: string): Promise<void> {
   const keyValue = createHttpKeyValue({ origin: fleet.keyValueUrl })
   const deadlineMs = performance.now() + IN_FORCE_TIMEOUT_MS
   try {
@@ -248,7 +248,7 @@
  * @param instances - the new list
  * @param lagMs - delay until readers see the new list
  */
-export async function listInstances (url: string, instances: readonly InstanceRecord[], lagMs = 0): Promise<void> {
+export async function replaceInstanceList (url: string, instances: readonly InstanceRecord[], lagMs = 0): Promise<void> {
   const response = await request(`${url}/control/instances`, { method: 'POST', body: JSON.stringify({ instances, lagMs }) })
   await response.body.dump()
 }
--- a/packages/bendfall-fakes/src/BendfallFakesEngine.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesEngine.ts
@@ -9,10 +9,10 @@
 import type { AttemptRef } from 'bendfall-upstream'
 import { createEngineDecodeSide } from './BendfallFakesEngineDecode.js'
 import { CRASH_REASON, createEngineLedger } from './BendfallFakesEngineLedger.js'
-import type { EngineLedger, HeldAttempt, HeldView } from './BendfallFakesEngineLedger.js'
+import type { EngineLedger, OpenAttempt, AttemptView } from './BendfallFakesEngineLedger.js'
 import { createEnginePrefillSide } from './BendfallFakesEnginePrefill.js'
-import { createFaultBoard } from './BendfallFakesFaults.js'
-import type { FaultBoard } from './BendfallFakesFaults.js'
+import { createFaultInjector } from './BendfallFakesFaults.js'
+import type { FaultInjector } from './BendfallFakesFaults.js'
 import { startServer } from './BendfallFakesServer.js'
 import type { Exchange, JsonReply, ListenOptions, Routes, StandIn } from './BendfallFakesServer.js'
 
@@ -52,20 +52,20 @@
 export type EngineOptions = Partial<EngineSettings> & ListenOptions
 
 /** State that the prefill and decode sides of an engine share. */
-export interface EngineParts {
+export interface EngineContext {
   readonly options: EngineSettings
   readonly ledger: EngineLedger
-  readonly faults: FaultBoard
+  readonly faults: FaultInjector
   readonly url: () => string
   /** Ties the connection of a call to its attempt: a crash aborts the connection, and a disconnect may free the attempt. */
-  readonly follow: (exchange: Exchange, held: HeldAttempt) => void
+  readonly bindConnection: (exchange: Exchange, held: OpenAttempt) => void
   /** Simulates a crash: frees all memory and aborts the calls that hold some. */
   readonly crash: () => void
 }
 
 /** State of an engine, for assertions. */
 export interface EngineState {
-  readonly attempts: readonly HeldView[]
+  readonly attempts: readonly AttemptView[]
   readonly usedKvBytes: number
   /** Most recent requests for which any work began. */
   readonly requestIds: readonly string[]
@@ -96,19 +96,19 @@
 export async function createEngineStandIn (overrides: EngineOptions = {}): Promise<EngineStandIn> {
   const options: EngineSettings = { ...DEFAULTS, ...overrides }
   const ledger = createEngineLedger(options.totalKvBytes)
-  const faults = createFaultBoard()
-  const parts: EngineParts = {
+  const faults = createFaultInjector()
+  const context: EngineContext = {
     options,
     ledger,
     faults,
     url: () => standIn.url,
-    follow: (exchange, held) => bindConnection(exchange, held, ledger, options.cancelsWhenLeft),
+    bindConnection: (exchange, held) => bindConnection(exchange, held, ledger, options.cancelsWhenLeft),
     crash: () => {
       ledger.crash()
       prefillSide.crash()
     }
   }
-  const prefillSide = createEnginePrefillSide(parts)
+  const prefillSide = createEnginePrefillSide(context)
   const orders = createOrders(options)
   const report = createReport(options, ledger)
   const state = (): EngineState => ({ attempts: ledger.view(), usedKvBytes: ledger.usedKvBytes(), requestIds: ledger.requestIds(), ...prefillSide.state(), ...orders.state() })
@@ -121,7 +121,7 @@
     },
     routes: {
       ...prefillSide.routes,
-      ...createEngineDecodeSide(parts),
+      ...createEngineDecodeSide(context),
       ...cancelRoutes(ledger, faults),
       'GET /report': () => ({ body: { type: 'report', ...report.read() } }),
       'POST /orders': orders.handle,
@@ -131,17 +131,17 @@
   return { ...standIn, state }
 }
 
-function bindConnection (exchange: Exchange, held: HeldAttempt, ledger: EngineLedger, cancelsWhenLeft: boolean): void {
+function bindConnection (exchange: Exchange, held: OpenAttempt, ledger: EngineLedger, cancelsWhenLeft: boolean): void {
   const { signal } = held.controller
   signal.addEventListener('abort', () => {
     if (signal.reason === CRASH_REASON) exchange.cut()
   })
-  if (cancelsWhenLeft) exchange.left.addEventListener('abort', () => ledger.cancel(held))
+  if (cancelsWhenLeft) exchange.disconnected.addEventListener('abort', () => ledger.cancel(held))
 }
 
-function cancelRoutes (ledger: EngineLedger, faults: FaultBoard): Routes {
+function cancelRoutes (ledger: EngineLedger, faults: FaultInjector): Routes {
   const cancelUnlessLost = (exchange: Exchange, run: () => void): JsonReply | undefined => {
-    if (faults.take('lose_cancel', exchange.path) !== undefined) {
+    if (faults.consume('lose_cancel', exchange.path) !== undefined) {
       exchange.cut()
       return undefined
     }
--- a/packages/bendfall-fakes/src/BendfallFakesEngineDecode.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesEngineDecode.ts
@@ -10,8 +10,8 @@
 import { createHttpExchanger } from 'bendfall-platform'
 import type { HttpExchanger } from 'bendfall-platform'
 import type { EngineDecode, EngineImport } from 'bendfall-upstream'
-import type { EngineParts } from './BendfallFakesEngine.js'
-import type { HeldAttempt } from './BendfallFakesEngineLedger.js'
+import type { EngineContext } from './BendfallFakesEngine.js'
+import type { OpenAttempt } from './BendfallFakesEngineLedger.js'
 import type { Exchange, JsonReply, Routes } from './BendfallFakesServer.js'
 
 const SOURCE_IDLE_MS = 60_000
@@ -41,22 +41,22 @@
 /**
  * Creates the decode side of an engine.
  *
- * @param parts - state shared with the prefill side
+ * @param context - state shared with the prefill side
  * @returns its routes
  */
-export function createEngineDecodeSide (parts: EngineParts): Routes {
-  const { options, ledger, faults } = parts
+export function createEngineDecodeSide (context: EngineContext): Routes {
+  const { options, ledger, faults } = context
 
   async function importKv (exchange: Exchange): Promise<JsonReply | undefined> {
     const request = exchange.json<EngineImport>()
     const held = ledger.open(request, 'decode')
     if (held === undefined) return importFailure('cancelled or running', false)
-    parts.follow(exchange, held)
-    if (!ledger.grow(held, request.kvBytes)) {
+    context.bindConnection(exchange, held)
+    if (!ledger.allocate(held, request.kvBytes)) {
       ledger.release(held)
       return importFailure('memory full', false)
     }
-    if (faults.take('stall_transfer', exchange.path) !== undefined) await once(held.controller.signal, 'abort')
+    if (faults.consume('stall_transfer', exchange.path) !== undefined) await once(held.controller.signal, 'abort')
     const http = createHttpExchanger({ origin: new URL(request.exportUrl).origin })
     const end = await http.sendForLines(
       { method: 'GET', path: new URL(request.exportUrl).pathname, timeoutMs: SOURCE_IDLE_MS, signal: held.controller.signal },
@@ -65,7 +65,7 @@
     return finishImport(held, end)
   }
 
-  function createLineHandler (exchange: Exchange, held: HeldAttempt): (line: string) => void {
+  function createLineHandler (exchange: Exchange, held: OpenAttempt): (line: string) => void {
     return (text) => {
       const line = JSON.parse(text) as { readonly type: string }
       if (line.type === 'progress') exchange.writeLine(line)
@@ -73,7 +73,7 @@
     }
   }
 
-  async function finishImport (held: HeldAttempt, end: SourceEnd): Promise<JsonReply | undefined> {
+  async function finishImport (held: OpenAttempt, end: SourceEnd): Promise<JsonReply | undefined> {
     if (held.imported) return { body: { type: 'done' } }
     ledger.release(held)
     if (end.isErr()) return importFailure(end.error.detail, end.error.kind === 'broken')
@@ -84,9 +84,9 @@
     const request = exchange.json<EngineDecode>()
     const held = ledger.find(request, 'decode')
     if (held?.imported !== true) return { body: { type: 'failed', detail: 'no imported cache' } }
-    parts.follow(exchange, held)
+    context.bindConnection(exchange, held)
     const newTokens = request.maxOutputTokens - request.resumeTokens.length
-    if (!ledger.grow(held, newTokens * options.kvBytesPerToken)) {
+    if (!ledger.allocate(held, newTokens * options.kvBytesPerToken)) {
       ledger.release(held)
       return { body: { type: 'failed', detail: 'memory full' } }
     }
@@ -105,7 +105,7 @@
     for (let start = 0; start < tokens.length; start += options.tokensPerStep) {
       await sleep(options.stepMs, undefined, { signal })
       exchange.writeLine({ type: 'tokens', index: request.resumeTokens.length + start, tokens: tokens.slice(start, start + options.tokensPerStep) })
-      if (faults.take('crash_decode', exchange.path) !== undefined) parts.crash()
+      if (faults.consume('crash_decode', exchange.path) !== undefined) context.crash()
     }
   }
 
--- a/packages/bendfall-fakes/src/BendfallFakesEngineLedger.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesEngineLedger.ts
@@ -16,7 +16,7 @@
 export type AttemptPart = 'decode' | 'prefill'
 
 /** An open attempt on the engine. */
-export interface HeldAttempt extends AttemptRef {
+export interface OpenAttempt extends AttemptRef {
   readonly part: AttemptPart
   /** Aborted by a cancel or a crash. */
   readonly controller: AbortController
@@ -25,23 +25,23 @@
 }
 
 /** An attempt as `GET /control/state` shows it. */
-export type HeldView = Pick<HeldAttempt, 'attempt' | 'heldKvBytes' | 'part' | 'requestId'>
+export type AttemptView = Pick<OpenAttempt, 'attempt' | 'heldKvBytes' | 'part' | 'requestId'>
 
 /** Memory and attempts of one engine. */
 export interface EngineLedger {
   /** Opens an attempt; returns undefined when it is already open or was cancelled. */
-  readonly open: (ref: AttemptRef, part: AttemptPart) => HeldAttempt | undefined
-  readonly find: (ref: AttemptRef, part: AttemptPart) => HeldAttempt | undefined
+  readonly open: (ref: AttemptRef, part: AttemptPart) => OpenAttempt | undefined
+  readonly find: (ref: AttemptRef, part: AttemptPart) => OpenAttempt | undefined
   /** Allocates memory for an attempt; returns false when there is not enough. */
-  readonly grow: (held: HeldAttempt, kvBytes: number) => boolean
-  readonly release: (held: HeldAttempt) => void
+  readonly allocate: (held: OpenAttempt, kvBytes: number) => boolean
+  readonly release: (held: OpenAttempt) => void
   /** Frees an attempt and rejects its later calls, since a cancel may overtake them. */
   readonly cancel: (ref: AttemptRef) => void
   readonly cancelAll: () => void
   /** Drops all attempts and their memory, as a crash does. */
   readonly crash: () => void
   readonly usedKvBytes: () => number
-  readonly view: () => readonly HeldView[]
+  readonly view: () => readonly AttemptView[]
   /** Most recent requests for which any work began. */
   readonly requestIds: () => readonly string[]
 }
@@ -53,14 +53,14 @@
  * @returns the ledger
  */
 export function createEngineLedger (totalKvBytes: number): EngineLedger {
-  const attempts = new Map<string, HeldAttempt>()
+  const attempts = new Map<string, OpenAttempt>()
   const cancelled = new Set<string>()
   const requestIds = new Set<string>()
   const attemptKey = (ref: AttemptRef): string => `${ref.requestId}#${ref.attempt}`
   const partKey = (ref: AttemptRef, part: AttemptPart): string => `${part} ${attemptKey(ref)}`
   const usedKvBytes = (): number => [...attempts.values()].reduce((sum, held) => sum + held.heldKvBytes, 0)
 
-  function open (ref: AttemptRef, part: AttemptPart): HeldAttempt | undefined {
+  function open (ref: AttemptRef, part: AttemptPart): OpenAttempt | undefined {
     const key = partKey(ref, part)
     if (cancelled.has(attemptKey(ref)) || attempts.has(key)) return undefined
     const held = { requestId: ref.requestId, attempt: ref.attempt, part, controller: new AbortController(), heldKvBytes: 0, imported: false }
@@ -69,18 +69,18 @@
     return held
   }
 
-  function grow (held: HeldAttempt, kvBytes: number): boolean {
+  function allocate (held: OpenAttempt, kvBytes: number): boolean {
     if (usedKvBytes() + kvBytes > totalKvBytes) return false
     held.heldKvBytes += kvBytes
     return true
   }
 
-  function release (held: HeldAttempt): void {
+  function release (held: OpenAttempt): void {
     const key = partKey(held, held.part)
     if (attempts.get(key) === held) attempts.delete(key)
   }
 
-  function abortAttempt (held: HeldAttempt, reason?: string): void {
+  function abortAttempt (held: OpenAttempt, reason?: string): void {
     release(held)
     held.controller.abort(reason)
   }
@@ -96,7 +96,7 @@
   return {
     open,
     find: (ref, part) => attempts.get(partKey(ref, part)),
-    grow,
+    allocate,
     release,
     cancel,
     cancelAll: () => [...attempts.values()].forEach(cancel),
--- a/packages/bendfall-fakes/src/BendfallFakesEnginePrefill.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesEnginePrefill.ts
@@ -7,7 +7,7 @@
  */
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { EnginePrefill } from 'bendfall-upstream'
-import type { EngineParts, EngineState } from './BendfallFakesEngine.js'
+import type { EngineContext, EngineState } from './BendfallFakesEngine.js'
 import type { Exchange, JsonReply, Routes } from './BendfallFakesServer.js'
 
 const MS_PER_SECOND = 1_000
@@ -36,11 +36,11 @@
 /**
  * Creates the prefill side of an engine.
  *
- * @param parts - state shared with the decode side
+ * @param context - state shared with the decode side
  * @returns routes and state
  */
-export function createEnginePrefillSide (parts: EngineParts): EnginePrefillSide {
-  const { options, ledger, faults } = parts
+export function createEnginePrefillSide (context: EngineContext): EnginePrefillSide {
+  const { options, ledger, faults } = context
   const acquireSlot = createPrefillQueue()
   const cache = createPrefixCache(options.prefixCacheEntries, options.cacheEventLagMs, options.cacheEventGapEvery)
   const results = new Map<string, StoredKvCache>()
@@ -52,7 +52,7 @@
     const request = exchange.json<EnginePrefill>()
     const held = ledger.open(request, 'prefill')
     if (held === undefined) return { body: { type: 'failed', detail: 'cancelled or running' } }
-    parts.follow(exchange, held)
+    context.bindConnection(exchange, held)
     const { signal } = held.controller
     const releaseSlot = await acquireSlot(request.priority, signal)
     try {
@@ -73,7 +73,7 @@
     const handle = `kv-${prefills}`
     results.set(handle, { kvBytes, evictsAtMs: performance.now() + options.evictsInMs, exports: 0 })
     setTimeout(() => evict(handle), options.evictsInMs).unref()
-    return { handle, exportUrl: `${parts.url()}/kv/${handle}`, kvBytes, evictsInMs: options.evictsInMs }
+    return { handle, exportUrl: `${context.url()}/kv/${handle}`, kvBytes, evictsInMs: options.evictsInMs }
   }
 
   function evict (handle: string): void {
@@ -86,7 +86,7 @@
     const handle = exchange.path.slice('/kv/'.length)
     const result = results.get(handle)
     if (result === undefined) return { status: 410, body: { type: 'gone' } }
-    const stallAfterBytes = faults.take('stall_transfer', exchange.path) === undefined ? Infinity : result.kvBytes / 2
+    const stallAfterBytes = faults.consume('stall_transfer', exchange.path) === undefined ? Infinity : result.kvBytes / 2
     result.exports += 1
     activeExports += 1
     try {
@@ -101,7 +101,7 @@
   async function streamProgress (exchange: Exchange, kvBytes: number, stallAfterBytes: number): Promise<void> {
     let sentBytes = 0
     let lastMs = performance.now()
-    while (sentBytes < kvBytes && !exchange.left.aborted) {
+    while (sentBytes < kvBytes && !exchange.disconnected.aborted) {
       await sleep(options.progressMs)
       const nowMs = performance.now()
       const linkBytes = options.linkBytesPerSecond * (nowMs - lastMs) / MS_PER_SECOND
@@ -110,7 +110,7 @@
       sentBytes = Math.min(kvBytes, stallAfterBytes, sentBytes + Math.ceil(linkBytes / activeExports))
       exchange.writeLine({ type: 'progress', transferredBytes: sentBytes })
     }
-    if (exchange.left.aborted) return
+    if (exchange.disconnected.aborted) return
     exports += 1
     exchange.writeLine({ type: 'done' })
   }
--- a/packages/bendfall-fakes/src/BendfallFakesFaults.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesFaults.ts
@@ -37,10 +37,10 @@
 }
 
 /** Active faults of one stand-in. */
-export interface FaultBoard {
+export interface FaultInjector {
   readonly add: (fault: Fault) => void
   /** Returns an active fault for a path and counts one use of it; undefined when there is none. */
-  readonly take: (mode: FaultMode, path: string) => Fault | undefined
+  readonly consume: (mode: FaultMode, path: string) => Fault | undefined
   readonly reset: () => void
 }
 
@@ -55,10 +55,10 @@
  *
  * @returns the fault injector
  */
-export function createFaultBoard (): FaultBoard {
+export function createFaultInjector (): FaultInjector {
   let active: ActiveFault[] = []
 
-  function take (mode: FaultMode, path: string): Fault | undefined {
+  function consume (mode: FaultMode, path: string): Fault | undefined {
     const nowMs = performance.now()
     active = active.filter((entry) => entry.remainingCount > 0 && entry.untilMs > nowMs)
     const entry = active.find(({ fault }) => fault.mode === mode && path.startsWith(fault.pathPrefix ?? '/'))
@@ -71,7 +71,7 @@
       const untilMs = performance.now() + (fault.durationMs ?? Infinity)
       active.push({ fault, untilMs, remainingCount: fault.count ?? Infinity })
     },
-    take,
+    consume,
     reset: () => { active = [] }
   }
 }
--- a/packages/bendfall-fakes/src/BendfallFakesKeyValue.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesKeyValue.ts
@@ -60,8 +60,8 @@
     'GET /control/calls': () => ({ body: counts }),
     'GET /get': rateLimited('get', tryRead, ({ query }) => store.get(query.get('key') ?? '')),
     'GET /list': rateLimited('list', tryRead, ({ query }) => store.list(query.get('prefix') ?? '')),
-    'GET /watch': rateLimited('watch', tryRead, ({ query, left }) =>
-      store.watch(query.get('prefix') ?? '', Number(query.get('sinceRevision')), Number(query.get('waitMs')), left)),
+    'GET /watch': rateLimited('watch', tryRead, ({ query, disconnected }) =>
+      store.watch(query.get('prefix') ?? '', Number(query.get('sinceRevision')), Number(query.get('waitMs')), disconnected)),
     'POST /compare-and-swap': rateLimited('compare_and_swap', tryWrite, (exchange) => {
       const write = exchange.json<CompareAndSwap>()
       if (Buffer.byteLength(write.value ?? '') > MAX_VALUE_BYTES) return { type: 'unavailable', detail: 'value too large' }
--- a/packages/bendfall-fakes/src/BendfallFakesPathBench.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesPathBench.ts
@@ -12,7 +12,7 @@
 import { streamChat } from './BendfallFakesDemoCalls.js'
 import { confirmIntent } from './BendfallFakesDemoOperator.js'
 import type { ListeningProcess } from './BendfallFakesDemoProcess.js'
-import { startFleet, untilInForce } from './BendfallFakesDemoSetup.js'
+import { startFleet, waitUntilInForce } from './BendfallFakesDemoSetup.js'
 import type { Fleet, FleetPlan, UpstreamPlan } from './BendfallFakesDemoSetup.js'
 
 const MODEL = 'bench'
@@ -65,7 +65,7 @@
   const fleet = await startFleet(FLEET)
   try {
     const { version } = await confirmIntent(fleet, INTENT)
-    await untilInForce(fleet, version)
+    await waitUntilInForce(fleet, version)
     await measureService(fleet)
     await measureFirstOutput(fleet)
     for (let round = 1; round <= RELAY_ROUNDS; round += 1) await measureRelay(fleet, round)
@@ -105,7 +105,7 @@
   }
   const routed: Call = async () => {
     const response = await streamChat(callerAddress(fleet), { model: MODEL, prompt: PROMPT, maxTokens: 1, trafficClass: 'interactive', client: CLIENT })
-    if (!response.whole) throw new Error(response.refusal)
+    if (!response.isComplete) throw new Error(response.refusal)
     return response.firstOutputMs
   }
   await compare('chat, first output (prefill, transfer, one step)', direct, routed)
--- a/packages/bendfall-fakes/src/BendfallFakesServer.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesServer.ts
@@ -9,8 +9,8 @@
 import type { AddressInfo } from 'node:net'
 import { setTimeout as sleep } from 'node:timers/promises'
 import { gzipSync } from 'node:zlib'
-import { createFaultBoard } from './BendfallFakesFaults.js'
-import type { Fault, FaultBoard } from './BendfallFakesFaults.js'
+import { createFaultInjector } from './BendfallFakesFaults.js'
+import type { Fault, FaultInjector } from './BendfallFakesFaults.js'
 
 const DEFAULT_SLOW_MS = 1_000
 const INVALID_JSON = '{"type": garb'
@@ -27,7 +27,7 @@
 export interface StandIn {
   readonly url: string
   /** Injects a fault, as `POST /control/fail` does. */
-  readonly fail: (fault: Fault) => void
+  readonly injectFault: (fault: Fault) => void
   /** Clears all faults, as `POST /control/reset` does. */
   readonly reset: () => void
   readonly close: () => Promise<void>
@@ -43,7 +43,7 @@
   /** Parses the body as JSON; returns an empty object when there is none. */
   readonly json: <T>() => T
   /** Aborted when the caller's connection closes before the end of the response. */
-  readonly left: AbortSignal
+  readonly disconnected: AbortSignal
   /** Writes one JSON line of a streamed response. */
   readonly writeLine: (line: object) => void
   /** Closes the connection at once, without completing the response. */
@@ -71,7 +71,7 @@
   readonly routes: Routes
   /** Handles requests that match no route; the default responds with 404. */
   readonly fallback?: RouteHandler
-  readonly faults?: FaultBoard
+  readonly faults?: FaultInjector
   readonly onClose?: () => void
 }
 
@@ -85,7 +85,7 @@
  */
 export async function startServer (options: ListenOptions, parts: ServerParts): Promise<StandIn> {
   const host = options.host ?? '127.0.0.1'
-  const faults = parts.faults ?? createFaultBoard()
+  const faults = parts.faults ?? createFaultInjector()
   const routes: Routes = { ...parts.routes, ...controlRoutes(faults) }
   const server = createServer((request, response) => {
     respond(request, response, routes, parts.fallback ?? notFound, faults).catch(() => response.destroy())
@@ -96,7 +96,7 @@
   })
   return {
     url: `http://${host}:${(server.address() as AddressInfo).port}`,
-    fail: faults.add,
+    injectFault: faults.add,
     reset: faults.reset,
     close: () => new Promise((resolve) => {
       parts.onClose?.()
@@ -106,7 +106,7 @@
   }
 }
 
-function controlRoutes (faults: FaultBoard): Routes {
+function controlRoutes (faults: FaultInjector): Routes {
   return {
     'POST /control/fail': (exchange) => {
       faults.add(exchange.json<Fault>())
@@ -123,7 +123,7 @@
   return { status: 404, body: { type: 'not_found', path: exchange.path } }
 }
 
-async function respond (request: IncomingMessage, response: ServerResponse, routes: Routes, fallback: RouteHandler, faults: FaultBoard): Promise<void> {
+async function respond (request: IncomingMessage, response: ServerResponse, routes: Routes, fallback: RouteHandler, faults: FaultInjector): Promise<void> {
   const exchange = await readExchange(request, response, faults)
   const handler = findHandler(routes, exchange) ?? fallback
   const isControl = exchange.path.startsWith('/control/')
@@ -132,10 +132,10 @@
   else response.end()
 }
 
-async function handleWithFaults (exchange: Exchange, handler: RouteHandler, faults: FaultBoard): Promise<JsonReply | undefined> {
-  const slow = faults.take('slow', exchange.path)
+async function handleWithFaults (exchange: Exchange, handler: RouteHandler, faults: FaultInjector): Promise<JsonReply | undefined> {
+  const slow = faults.consume('slow', exchange.path)
   if (slow !== undefined) await sleep(slow.delayMs ?? DEFAULT_SLOW_MS, undefined, { ref: false })
-  if (faults.take('outage', exchange.path) !== undefined) {
+  if (faults.consume('outage', exchange.path) !== undefined) {
     return { status: 503, body: { type: 'unavailable', detail: 'outage' } }
   }
   return handler(exchange)
@@ -146,8 +146,8 @@
   return routes[`${exchange.method} ${exchange.path}`] ?? routes[`${exchange.method} ${parent}/*`]
 }
 
-function sendReply (response: ServerResponse, reply: JsonReply, exchange: Exchange, faults: FaultBoard | undefined): void {
-  if (exchange.method !== 'GET' && faults?.take('lose_answer_after_write', exchange.path) !== undefined) {
+function sendReply (response: ServerResponse, reply: JsonReply, exchange: Exchange, faults: FaultInjector | undefined): void {
+  if (exchange.method !== 'GET' && faults?.consume('lose_answer_after_write', exchange.path) !== undefined) {
     exchange.cut()
     return
   }
@@ -156,7 +156,7 @@
     response.end()
     return
   }
-  const isGarbage = faults?.take('garbage', exchange.path) !== undefined
+  const isGarbage = faults?.consume('garbage', exchange.path) !== undefined
   const text = isGarbage ? INVALID_JSON : JSON.stringify(reply.body) ?? ''
   const isCompressed = reply.isCompressible === true && String(exchange.headers['accept-encoding']).includes('gzip')
   const bytes = isCompressed ? gzipSync(text) : Buffer.from(text)
@@ -164,14 +164,14 @@
   // A 304 response has no body that could be invalid JSON.
   const status = isGarbage && reply.body === undefined ? 200 : reply.status ?? 200
   response.writeHead(status, { 'content-type': 'application/json', 'content-length': bytes.length, ...headers })
-  if (faults?.take('half_answer', exchange.path) === undefined) {
+  if (faults?.consume('half_answer', exchange.path) === undefined) {
     response.end(bytes)
     return
   }
   response.write(bytes.subarray(0, bytes.length / 2), () => exchange.cut())
 }
 
-async function readExchange (request: IncomingMessage, response: ServerResponse, faults: FaultBoard): Promise<Exchange> {
+async function readExchange (request: IncomingMessage, response: ServerResponse, faults: FaultInjector): Promise<Exchange> {
   const url = new URL(request.url ?? '/', 'http://stand-in')
   const disconnected = new AbortController()
   response.once('close', () => {
@@ -187,17 +187,17 @@
     headers: request.headers,
     body,
     json: <T>() => JSON.parse(body.length === 0 ? '{}' : body.toString('utf8')) as T,
-    left: disconnected.signal,
+    disconnected: disconnected.signal,
     writeLine: (line) => writeLine(response, url.pathname, line, faults),
     cut: () => { response.destroy() }
   }
 }
 
-function writeLine (response: ServerResponse, path: string, line: object, faults: FaultBoard): void {
+function writeLine (response: ServerResponse, path: string, line: object, faults: FaultInjector): void {
   if (response.destroyed) return
   if (!response.headersSent) response.writeHead(200, { 'content-type': 'application/x-ndjson' })
-  const isGarbage = faults.take('garbage', path) !== undefined
+  const isGarbage = faults.consume('garbage', path) !== undefined
   const text = isGarbage ? INVALID_JSON : JSON.stringify(line)
-  if (faults.take('half_answer', path) === undefined) response.write(`${text}\n`)
+  if (faults.consume('half_answer', path) === undefined) response.write(`${text}\n`)
   else response.write(text.slice(0, text.length / 2), () => response.destroy())
 }
--- a/packages/bendfall-fakes/src/BendfallFakesSoak.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesSoak.ts
@@ -11,11 +11,11 @@
 import type { Cluster } from './BendfallFakesCluster.js'
 import { createKey, judgeBooking, judgeChat } from './BendfallFakesClusterCalls.js'
 import type { CallVerdict } from './BendfallFakesClusterCalls.js'
-import { createDraw, drawFaults, inflictFault, possibleFaults } from './BendfallFakesClusterFaults.js'
+import { createDraw, drawFaults, injectClusterFault, possibleFaults } from './BendfallFakesClusterFaults.js'
 import type { ClusterFault, Draw } from './BendfallFakesClusterFaults.js'
 import { startLoad } from './BendfallFakesClusterLoad.js'
 import { planCluster, planClusterIntent } from './BendfallFakesClusterPlan.js'
-import { findFalseBookings, findFalseChats } from './BendfallFakesClusterTruth.js'
+import { findBookingViolations, findChatViolations } from './BendfallFakesClusterTruth.js'
 import type { BookingRecord } from './BendfallFakesClusterTruth.js'
 import { watchVersions } from './BendfallFakesClusterVersions.js'
 import { eventually } from './BendfallFakesClusterWait.js'
@@ -46,7 +46,7 @@
     const loads = [startLoad(CHAT_CALLERS, (index) => chat(cluster, results, seed, index), cluster.ended), startLoad(BOOKING_CALLERS, (index) => book(cluster, results, index), cluster.ended)]
     await runFaults(cluster, results, createDraw(seed), seconds * MS_PER_SECOND)
     await Promise.all(loads.map((load) => load.stop()))
-    violations.push(...(await versions.stop()).reverts, ...await findFalseBookings(cluster, results.bookings), ...await findFalseChats(cluster, results.chats), ...await findUnreleasedEngines(cluster))
+    violations.push(...(await versions.stop()).regressions, ...await findBookingViolations(cluster, results.bookings), ...await findChatViolations(cluster, results.chats), ...await findUnreleasedEngines(cluster))
     for (const requestId of idsOf(results, violations)) console.log(formatTimeline(await cluster.timeline(requestId)))
   } catch (error) {
     violations.push(String(error))
@@ -86,7 +86,7 @@
   while (performance.now() < endsAtMs) {
     const faults = drawFaults(draw, possibleFaults(cluster), draw(FAULT_COUNTS))
     results.faults.push(...faults)
-    const clearFaults = await Promise.all(faults.map((fault) => inflictFault(cluster, fault)))
+    const clearFaults = await Promise.all(faults.map((fault) => injectClusterFault(cluster, fault)))
     await sleep(draw(FAULT_MS))
     await Promise.all(clearFaults.map((clearFault) => clearFault()))
     await sleep(draw(RECOVERY_MS))
--- a/packages/bendfall-fakes/src/__tests__/process/AnswersRound.ts
+++ b/packages/bendfall-fakes/src/__tests__/process/AnswersRound.ts
@@ -2,9 +2,9 @@
 import { judgeBooking, judgeChat } from '../../BendfallFakesClusterCalls.js'
 import type { CallVerdict } from '../../BendfallFakesClusterCalls.js'
 import type { Cluster } from '../../BendfallFakesCluster.js'
-import { inflictFault } from '../../BendfallFakesClusterFaults.js'
+import { injectClusterFault } from '../../BendfallFakesClusterFaults.js'
 import type { ClusterFault } from '../../BendfallFakesClusterFaults.js'
-import { findFalseBookings, findFalseChats } from '../../BendfallFakesClusterTruth.js'
+import { findBookingViolations, findChatViolations } from '../../BendfallFakesClusterTruth.js'
 import type { BookingRecord } from '../../BendfallFakesClusterTruth.js'
 import type { ClusterSize } from '../../BendfallFakesClusterPlan.js'
 import { entryOf } from './ClusterSuite.js'
@@ -35,7 +35,7 @@
     const name = `${roundNumber}-${index}`
     return { name, verdicts: [await judgeBooking(cluster.callers(entryOf(index)), { name })] }
   })
-  const clearFault = fault === undefined ? undefined : await inflictFault(cluster, fault)
+  const clearFault = fault === undefined ? undefined : await injectClusterFault(cluster, fault)
   const result = { chats: await Promise.all(chats), bookings: await Promise.all(bookings) }
   await clearFault?.()
   return result
@@ -43,6 +43,6 @@
 
 /** Asserts that every caller received its own complete response once, or the true outcome of its request. */
 export async function assertGuaranteesHold (cluster: Cluster, { chats, bookings }: RoundResult): Promise<void> {
-  assert.equal(await findFalseChats(cluster, chats), [])
-  assert.equal(await findFalseBookings(cluster, bookings), [])
+  assert.equal(await findChatViolations(cluster, chats), [])
+  assert.equal(await findBookingViolations(cluster, bookings), [])
 }
--- a/packages/bendfall-fakes/src/__tests__/process/BendfallFakesProofConfiguration.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/process/BendfallFakesProofConfiguration.test.ts
@@ -8,7 +8,7 @@
 import { watchVersions } from '../../BendfallFakesClusterVersions.js'
 import { eventually } from '../../BendfallFakesClusterWait.js'
 import { confirmIntent, withIntentFile } from '../../BendfallFakesDemoOperator.js'
-import type { CommandEnd } from '../../BendfallFakesDemoOperator.js'
+import type { CommandResult } from '../../BendfallFakesDemoOperator.js'
 import { clusterSuite } from './ClusterSuite.js'
 
 const MAX_IN_FORCE_MS = 5_000
@@ -40,14 +40,14 @@
     try {
       await work(cluster)
     } finally {
-      const { samples, reverts } = await watch.stop()
-      assert.equal(reverts, [])
+      const { samples, regressions } = await watch.stop()
+      assert.equal(regressions, [])
       assert.ok(samples > 0)
     }
   })
 }
 
-function planAndConfirm (cluster: Cluster, onPlanned: () => Promise<void>): Promise<CommandEnd> {
+function planAndConfirm (cluster: Cluster, onPlanned: () => Promise<void>): Promise<CommandResult> {
   return withIntentFile(cluster.fleet, createUniqueIntent(), async (command) => {
     const { digest } = JSON.parse((await command('plan', '--json')).output) as Plan
     await onPlanned()
@@ -85,7 +85,7 @@
 
 test('a confirmation whose response is lost is applied exactly once', async (cluster) => {
   const before = await cluster.configVersion('entry-1')
-  await cluster.fail('key-value', { mode: 'lose_answer_after_write', pathPrefix: '/compare-and-swap', count: 1 })
+  await cluster.injectFault('key-value', { mode: 'lose_answer_after_write', pathPrefix: '/compare-and-swap', count: 1 })
   await confirmIntent(cluster.fleet, createUniqueIntent())
   await waitUntilVersionEverywhere(cluster, before + 1)
 })
@@ -93,13 +93,13 @@
 test('processes restarted during a store outage get the version from their peers', async (cluster) => {
   const { version } = await confirmIntent(cluster.fleet, createUniqueIntent())
   await waitUntilVersionEverywhere(cluster, version)
-  await cluster.fail('key-value', { mode: 'outage' })
+  await cluster.injectFault('key-value', { mode: 'outage' })
   for (const instanceId of ['entry-1', 'decode-1']) {
     await cluster.kill(instanceId)
     await cluster.restart(instanceId)
   }
   await waitUntilVersionEverywhere(cluster, version)
-  await cluster.heal('key-value')
+  await cluster.clearFaults('key-value')
 })
 
 test('a store outage right after a confirmation neither stops its propagation nor reverts it', async (cluster) => {
@@ -108,9 +108,9 @@
     const versions = await Promise.all(cluster.instanceIds.map((instanceId) => cluster.configVersion(instanceId)))
     return versions.includes(version)
   }, MAX_IN_FORCE_MS)
-  await cluster.fail('key-value', { mode: 'outage' })
+  await cluster.injectFault('key-value', { mode: 'outage' })
   await waitUntilVersionEverywhere(cluster, version)
-  await cluster.heal('key-value')
+  await cluster.clearFaults('key-value')
 })
 
 test('a process resumed with an old version catches up and reverts no other process', async (cluster) => {
--- a/packages/bendfall-fakes/src/__tests__/process/BendfallFakesProofGracefulStop.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/process/BendfallFakesProofGracefulStop.test.ts
@@ -39,7 +39,7 @@
 }
 
 test('a stopping entry finishes its streams and calls and refuses new ones', async (cluster) => {
-  await cluster.fail('freight-1', { mode: 'slow', delayMs: HELD_CALL_MS, count: 1 })
+  await cluster.injectFault('freight-1', { mode: 'slow', delayMs: HELD_CALL_MS, count: 1 })
   const held = openChats(cluster, ['entry-1', 'entry-1', 'entry-1'])
   const booking = judgeBooking(cluster.callers('entry-1'), { name: 'held' })
   await Promise.all(held.map(({ output }) => output))
@@ -89,7 +89,7 @@
 })
 
 test('the stopping sidecar of a plain service finishes its call, which ran once', async (cluster) => {
-  await cluster.fail('freight-1', { mode: 'slow', delayMs: HELD_CALL_MS, count: 1 })
+  await cluster.injectFault('freight-1', { mode: 'slow', delayMs: HELD_CALL_MS, count: 1 })
   const booking = judgeBooking(cluster.callers('entry-1'), { name: 'finishes' })
   await eventually('the sidecar runs the call', async () => (await cluster.status('freight-1')).activeRequests > 0)
   const exitCode = cluster.terminate('freight-1')
--- a/packages/bendfall-fakes/src/__tests__/process/BendfallFakesProofLeaving.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/process/BendfallFakesProofLeaving.test.ts
@@ -65,7 +65,7 @@
 
 test('the sidecar of a plain service that stops, 30 s before the instance list shows it', async (cluster) => {
   const leaving = 'freight-1'
-  await cluster.fail(leaving, { mode: 'slow', delayMs: HELD_CALL_MS, count: 1, pathPrefix: '/freight/bookings/held' })
+  await cluster.injectFault(leaving, { mode: 'slow', delayMs: HELD_CALL_MS, count: 1, pathPrefix: '/freight/bookings/held' })
   const held = judgeBooking(cluster.callers('entry-1'), { name: 'held' })
   await eventually('the sidecar runs the call', async () => (await cluster.status(leaving)).activeRequests > 0)
   const load = startBookings(cluster, CALLERS)
--- a/packages/bendfall-fakes/src/__tests__/process/BendfallFakesProofMemory.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/process/BendfallFakesProofMemory.test.ts
@@ -30,7 +30,7 @@
   const call = openChat(cluster, 'entry-1', 'cancel lost', LONG_OUTPUT)
   await call.output
   const decode = await waitForBusyEngine(cluster)
-  await cluster.fail(decode, { mode: 'lose_cancel', count: 3 })
+  await cluster.injectFault(decode, { mode: 'lose_cancel', count: 3 })
   call.disconnect()
   await waitUntilEnginesFree(cluster, 3 * CANCEL_RETRY_MS + SLACK_MS)
 })
--- a/packages/bendfall-fakes/src/__tests__/process/BendfallFakesProofOnce.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/process/BendfallFakesProofOnce.test.ts
@@ -3,9 +3,9 @@
 import { createKey, judgeBooking } from '../../BendfallFakesClusterCalls.js'
 import type { CallVerdict } from '../../BendfallFakesClusterCalls.js'
 import type { Cluster } from '../../BendfallFakesCluster.js'
-import { createDraw, drawFaults, inflictFault, possibleFaults } from '../../BendfallFakesClusterFaults.js'
+import { createDraw, drawFaults, injectClusterFault, possibleFaults } from '../../BendfallFakesClusterFaults.js'
 import type { ClusterFault } from '../../BendfallFakesClusterFaults.js'
-import { findFalseBookings } from '../../BendfallFakesClusterTruth.js'
+import { findBookingViolations } from '../../BendfallFakesClusterTruth.js'
 import type { BookingRecord } from '../../BendfallFakesClusterTruth.js'
 import { eventually } from '../../BendfallFakesClusterWait.js'
 import { assertType, clusterSuite, waitUntilUpstreamsLive } from './ClusterSuite.js'
@@ -42,7 +42,7 @@
 }
 
 async function assertRunOnce (cluster: Cluster, keyed: readonly BookingRecord[]): Promise<void> {
-  assert.equal(await findFalseBookings(cluster, keyed), [])
+  assert.equal(await findBookingViolations(cluster, keyed), [])
 }
 
 /** Waits until new keys run whatever their slot, since a home refuses keys that are older than itself. */
@@ -100,7 +100,7 @@
 async function bookDuringFaults (cluster: Cluster, faults: readonly ClusterFault[]): Promise<readonly KeyedBooking[]> {
   const keyed = createKeyedBookings(KEYS)
   const first = bookTwice(cluster, keyed)
-  const clearFunctions = await Promise.all(faults.map((fault) => inflictFault(cluster, fault)))
+  const clearFunctions = await Promise.all(faults.map((fault) => injectClusterFault(cluster, fault)))
   const second = createKeyedBookings(KEYS)
   const called = Promise.all([first, bookTwice(cluster, second)])
   await Promise.race([called, pause(FAULT_MS)])
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAllotments.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAllotments.test.ts
@@ -3,8 +3,8 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { ALLOTMENT_BOUNDS, callEntry, inCustomerScene, sentAtMs, withKey } from './CustomerScene.js'
-import type { CustomerAnswer, CustomerEntry, CustomerScene, Tenant } from './CustomerScene.js'
+import { ALLOTMENT_BOUNDS, callEntry, withCustomerHarness, sentAtMs, withKey } from './CustomerScene.js'
+import type { CustomerResponse, CustomerEntry, CustomerHarness, Tenant } from './CustomerScene.js'
 
 const CALL_TOKENS = 200
 const LIMIT = { unit: 'token_stream', 'uncached-tokens': CALL_TOKENS, 'rate-per-s': 4_000, burst: 4_000 }
@@ -28,7 +28,7 @@
 }
 
 /** Returns the runs of a customer, with the times at which they were sent and reached a replica. */
-function findRuns ({ plain }: CustomerScene, customer: string): CustomerRun[] {
+function findRuns ({ plain }: CustomerHarness, customer: string): CustomerRun[] {
   const runs = plain.flatMap(({ seen }) => seen.filter(({ headers }) => headers['x-tenant'] === customer))
   return runs.map(({ atMs, requestId }) => ({ atMs, sentMs: sentAtMs(requestId), tokens: CALL_TOKENS }))
 }
@@ -43,8 +43,8 @@
 const BOUND_TOKENS = (LIMIT['rate-per-s'] * ALLOTMENT_BOUNDS.windowMs / 1_000 + LIMIT.burst) * (1 + ALLOTMENT_BOUNDS.overShare) + ALLOTMENT_BOUNDS.slackUnits
 
 /** Calls the entries round-robin, `perSecond` times a second for `ms` milliseconds, and returns the responses. */
-async function sendLoad (entries: readonly CustomerEntry[], key: string, perSecond: number, ms: number): Promise<CustomerAnswer[]> {
-  const answers: Array<Promise<CustomerAnswer>> = []
+async function sendLoad (entries: readonly CustomerEntry[], key: string, perSecond: number, ms: number): Promise<CustomerResponse[]> {
+  const answers: Array<Promise<CustomerResponse>> = []
   const startedMs = performance.now()
   for (let elapsedMs = 0; elapsedMs < ms; elapsedMs = performance.now() - startedMs) {
     while (answers.length < perSecond * elapsedMs / 1_000) answers.push(callEntry(entries[answers.length % entries.length] as CustomerEntry, { path: '/r/1', headers: withKey(key) }))
@@ -53,11 +53,11 @@
   return await Promise.all(answers)
 }
 
-function countStatus (answers: readonly CustomerAnswer[], expectedStatus: number): number {
+function countStatus (answers: readonly CustomerResponse[], expectedStatus: number): number {
   return answers.filter(({ status }) => status === expectedStatus).length
 }
 
-async function waitForLeaders ({ entries }: CustomerScene): Promise<void> {
+async function waitForLeaders ({ entries }: CustomerHarness): Promise<void> {
   for (let i = 0; i < 200; i++) {
     const answers = await Promise.all(entries.map((entry) => callEntry(entry, { path: '/r/1', headers: withKey('k-calm') })))
     if (answers.every(({ status }) => status !== 503)) return await sleep(REFILL_MS)
@@ -66,13 +66,13 @@
   throw new Error('no entry leads the allotments')
 }
 
-function leaderIndex ({ store }: CustomerScene, role: string): number {
+function leaderIndex ({ store }: CustomerHarness, role: string): number {
   const document = store.documents().find(({ key }) => key === `bendfall/allotments/${role}`)
   return Number(/entry-(\d)/.exec(document?.value ?? '')?.[1] ?? -1)
 }
 
 test('of a customer that asks for six times its limit the limit runs, and others are served', async () => {
-  await inCustomerScene(4, [FLOOD, CALM, FREE], async (scene) => {
+  await withCustomerHarness(4, [FLOOD, CALM, FREE], async (scene) => {
     await waitForLeaders(scene)
     const [flooded, calm, free] = await Promise.all([sendLoad(scene.entries, 'k-flood', 120, 5_000), sendLoad(scene.entries, 'k-calm', 16, 5_000), sendLoad(scene.entries, 'k-free', 40, 5_000)])
     const expectedServed = 5 * LIMIT['rate-per-s'] / CALL_TOKENS + LIMIT.burst / CALL_TOKENS
@@ -86,7 +86,7 @@
 })
 
 test('a customer without earlier requests is granted its burst immediately', async () => {
-  await inCustomerScene(2, [FLOOD, CALM], async (scene) => {
+  await withCustomerHarness(2, [FLOOD, CALM], async (scene) => {
     await waitForLeaders(scene)
     const answers = await Promise.all(scene.entries.map((entry) => callEntry(entry, { path: '/r/1', headers: withKey('k-flood') })))
     assert.equal(answers.map(({ status }) => status), [200, 200])
@@ -96,7 +96,7 @@
 
 // An entry that found both keys free used to take both, so its death left a customer without any leader.
 test('the primary and the reserve leader of the allotments are different entries', async () => {
-  await inCustomerScene(4, [FLOOD, CALM], async (scene) => {
+  await withCustomerHarness(4, [FLOOD, CALM], async (scene) => {
     await waitForLeaders(scene)
     for (let i = 0; i < 100 && leaderIndex(scene, 'reserve') === -1; i++) await sleep(50)
     const [primary, reserve] = ['primary', 'reserve'].map((role) => leaderIndex(scene, role))
@@ -106,7 +106,7 @@
 })
 
 test('a customer can use its whole allotment at a single entry', async () => {
-  await inCustomerScene(3, [FLOOD, CALM], async (scene) => {
+  await withCustomerHarness(3, [FLOOD, CALM], async (scene) => {
     await waitForLeaders(scene)
     const answers = await sendLoad(scene.entries.slice(0, 1), 'k-flood', 18, 4_000)
     assert.ok(countStatus(answers, 200) >= MIN_SHARE * answers.length, `${countStatus(answers, 200)} of ${answers.length}`)
@@ -114,14 +114,14 @@
   })
 })
 
-const LEADER_CHANGES: ReadonlyArray<readonly [string, (scene: CustomerScene, index: number) => Promise<void>]> = [
-  ['loses contact with the store', async ({ entries }, index) => { entries[index]?.proxy.harm('silent') }],
+const LEADER_CHANGES: ReadonlyArray<readonly [string, (scene: CustomerHarness, index: number) => Promise<void>]> = [
+  ['loses contact with the store', async ({ entries }, index) => { entries[index]?.proxy.injectFault('silent') }],
   ['shuts down', async ({ entries }, index) => { await entries[index]?.stop() }]
 ]
 
 for (const [what, change] of LEADER_CHANGES) {
   test(`while the leader ${what}, no units are granted twice and a customer at its usual rate is served`, async () => {
-    await inCustomerScene(4, [FLOOD, CALM], async (scene) => {
+    await withCustomerHarness(4, [FLOOD, CALM], async (scene) => {
       await waitForLeaders(scene)
       const index = leaderIndex(scene, 'primary')
       const others = scene.entries.filter((_, i) => i !== index)
@@ -136,7 +136,7 @@
 }
 
 test('a lowered limit is enforced and a raised limit can be used in full', async () => {
-  await inCustomerScene(2, [FLOOD, CALM], async (scene) => {
+  await withCustomerHarness(2, [FLOOD, CALM], async (scene) => {
     await waitForLeaders(scene)
     const lower = { ...LIMIT, 'rate-per-s': 1_000, burst: 1_000 }
     scene.configure(2, [{ ...FLOOD, ...lower }, CALM])
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAnswersForeignRefusal.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAnswersForeignRefusal.test.ts
@@ -5,9 +5,9 @@
 // ran a second time at another replica.
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import type { AskedFor } from '../../fleet/answers/BendfallFakesAnswersScript.js'
+import type { RequestPurpose } from '../../fleet/answers/BendfallFakesAnswersScript.js'
 import type { ScriptedRequest } from '../../fleet/answers/BendfallFakesAnswersReplica.js'
-import { onAnswersStage } from '../../fleet/answers/BendfallFakesAnswersStage.js'
+import { withAnswersHarness } from '../../fleet/answers/BendfallFakesAnswersStage.js'
 
 const REFUSAL_DELAY_MS = 30
 const PREFILL_MS = 100
@@ -24,9 +24,9 @@
       holds.set(replicaId, previousHolds + 1)
       return previousHolds === 0 ? { status, workMs: REFUSAL_DELAY_MS, double: { part: 'whole', when: 'with_next', afterMs: 0, share: 0.5 } } : {}
     }
-    await onAnswersStage({ replicaIds: ['i-p', 'i-a'], scriptOf }, async ({ arrivals, broken, call }) => {
+    await withAnswersHarness({ replicaIds: ['i-p', 'i-a'], scriptOf }, async ({ arrivals, broken, call }) => {
       await Promise.all([call('summary', 'refused'), call('summary', 'runs')])
-      const purposes = arrivals().map((arrival): AskedFor => arrival.asked)
+      const purposes = arrivals().map((arrival): RequestPurpose => arrival.asked)
       assert.is(purposes.filter((purpose) => purpose === 'run').length, 1)
       assert.equal(broken(), [])
     })
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAnswersFuzz.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAnswersFuzz.test.ts
@@ -2,7 +2,7 @@
 // and delays are drawn from a seed. Each seed that has failed stays, with its cause.
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { fuzzAnswers, planOf } from '../../fleet/answers/BendfallFakesAnswersFuzz.js'
+import { fuzzAnswers, createFuzzPlan } from '../../fleet/answers/BendfallFakesAnswersFuzz.js'
 
 const SEEDS: ReadonlyArray<readonly [number, string]> = [
   [403, 'a hold was given to two requests'],
@@ -15,7 +15,7 @@
 
 for (const [seed, cause] of SEEDS) {
   test(`guarantees hold on seed ${seed}: ${cause}`, async () => {
-    const { calls, violations } = await fuzzAnswers(planOf(seed))
+    const { calls, violations } = await fuzzAnswers(createFuzzPlan(seed))
     assert.ok(calls > 0)
     assert.equal(violations.map(({ detail, requestId, type }) => `${type} ${requestId}: ${detail}`), [])
   })
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAnswersJoinedHead.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAnswersJoinedHead.test.ts
@@ -6,13 +6,13 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import type { ScriptedRequest } from '../../fleet/answers/BendfallFakesAnswersReplica.js'
-import type { ScriptDouble } from '../../fleet/answers/BendfallFakesAnswersScript.js'
-import { onAnswersStage } from '../../fleet/answers/BendfallFakesAnswersStage.js'
+import type { ScriptDuplicate } from '../../fleet/answers/BendfallFakesAnswersScript.js'
+import { withAnswersHarness } from '../../fleet/answers/BendfallFakesAnswersStage.js'
 
-const IN_STATUS_LINE: ScriptDouble = { part: 'line_cut', when: 'with_next', afterMs: 0, share: 0 }
+const IN_STATUS_LINE: ScriptDuplicate = { part: 'line_cut', when: 'with_next', afterMs: 0, share: 0 }
 
 /** By status: a 500 has a longer status line, so the same place in the head is at a larger share. */
-const IN_SIGNATURE: Readonly<Record<200 | 500, ScriptDouble>> = {
+const IN_SIGNATURE: Readonly<Record<200 | 500, ScriptDuplicate>> = {
   200: { part: 'head_cut', when: 'with_next', afterMs: 0, share: 0.42 },
   500: { part: 'head_cut', when: 'with_next', afterMs: 0, share: 0.53 }
 }
@@ -21,7 +21,7 @@
   for (const [place, double] of [['status line', IN_STATUS_LINE], ['signature', IN_SIGNATURE[previous]]] as const) {
     test(`a ${next} response keeps its status after a duplicate ${previous} response truncated within its ${place}`, async () => {
       const scriptOf = ({ requestId }: ScriptedRequest): object => ({ isIdLast: true, ...(requestId === 'former' ? { status: previous, double } : { status: next }) })
-      await onAnswersStage({ replicaIds: ['i-x'], scriptOf }, async ({ broken, call }) => {
+      await withAnswersHarness({ replicaIds: ['i-x'], scriptOf }, async ({ broken, call }) => {
         await call('booking', 'former')
         await call('booking', 'next')
         assert.equal(broken(), [])
@@ -34,7 +34,7 @@
 for (const [previous, next] of [[200, 500], [500, 200]] as const) {
   test(`a ${next} response that arrives byte by byte keeps its status after a duplicate ${previous} response truncated within its status line`, async () => {
     const scriptOf = ({ requestId }: ScriptedRequest): object => (requestId === 'former' ? { status: previous, double: IN_STATUS_LINE } : { status: next, bodyBytes: 0, write: 'bytes' })
-    await onAnswersStage({ replicaIds: ['i-x'], scriptOf }, async ({ broken, call }) => {
+    await withAnswersHarness({ replicaIds: ['i-x'], scriptOf }, async ({ broken, call }) => {
       await call('booking', 'former')
       await call('booking', 'next')
       assert.equal(broken(), [])
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAnswersReset.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAnswersReset.test.ts
@@ -8,7 +8,7 @@
 import * as assert from 'uvu/assert'
 import type { ScriptCut } from '../../fleet/answers/BendfallFakesAnswersScript.js'
 import type { AnswersKind } from '../../fleet/answers/BendfallFakesAnswersScene.js'
-import { onAnswersStage } from '../../fleet/answers/BendfallFakesAnswersStage.js'
+import { withAnswersHarness } from '../../fleet/answers/BendfallFakesAnswersStage.js'
 
 const CALLS = 20
 
@@ -21,7 +21,7 @@
 for (const kind of ['booking', 'rate', 'summary', 'brief'] as const satisfies readonly AnswersKind[]) {
   for (const [place, cut] of Object.entries(CUTS)) {
     test(`a close-delimited response to a ${kind} call that is reset ${place} is not forwarded as complete`, async () => {
-      await onAnswersStage({ scriptOf: ({ asked }) => (asked === 'run' ? { framing: 'connection', bodyBytes: 600, cut } : {}) }, async ({ broken, call }) => {
+      await withAnswersHarness({ scriptOf: ({ asked }) => (asked === 'run' ? { framing: 'connection', bodyBytes: 600, cut } : {}) }, async ({ broken, call }) => {
         for (let i = 0; i < CALLS; i++) await call(kind, `reset-${i}`)
         assert.equal(broken(), [])
       })
@@ -30,7 +30,7 @@
 }
 
 test('a close-delimited response that is closed gracefully is complete', async () => {
-  await onAnswersStage({ scriptOf: ({ asked }) => (asked === 'run' ? { framing: 'connection', bodyBytes: 600 } : {}) }, async ({ broken, call }) => {
+  await withAnswersHarness({ scriptOf: ({ asked }) => (asked === 'run' ? { framing: 'connection', bodyBytes: 600 } : {}) }, async ({ broken, call }) => {
     const ends: string[] = []
     for (let i = 0; i < CALLS; i++) ends.push((await call('booking', `closed-${i}`)).end)
     assert.equal(ends, Array.from({ length: CALLS }, () => 'complete'))
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAnswersResumedEnd.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAnswersResumedEnd.test.ts
@@ -8,7 +8,7 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import type { ScriptCut, ScriptFraming } from '../../fleet/answers/BendfallFakesAnswersScript.js'
-import { onAnswersStage } from '../../fleet/answers/BendfallFakesAnswersStage.js'
+import { withAnswersHarness } from '../../fleet/answers/BendfallFakesAnswersStage.js'
 
 const CUTS_AT_END = {
   chunked: { how: 'fin', at: 'last_byte', share: 0, afterMs: 0 },
@@ -26,7 +26,7 @@
       runs += 1
       return runs === 1 ? { framing, cut: CUTS_AT_END[framing] } : { framing: 'length' }
     }
-    await onAnswersStage({ scriptOf }, async ({ broken, call }) => {
+    await withAnswersHarness({ scriptOf }, async ({ broken, call }) => {
       const { end } = await call('brief', 'resumed')
       assert.is.not(end, 'silent')
       assert.equal(broken(), [])
@@ -44,7 +44,7 @@
       runs += 1
       return runs === 1 ? { framing: 'chunked', cut: CUT_IN_BODY } : { status: 500, bodyBytes }
     }
-    await onAnswersStage({ scriptOf }, async ({ broken, call }) => {
+    await withAnswersHarness({ scriptOf }, async ({ broken, call }) => {
       const { answer, end } = await call('brief', 'failed')
       assert.is(end, 'broken')
       assert.is(answer.body.includes('answer to failed'), false)
@@ -60,7 +60,7 @@
     runs += 1
     return runs === 1 ? { framing: 'chunked', cut: CUT_IN_BODY } : { framing: 'connection' }
   }
-  await onAnswersStage({ scriptOf }, async ({ call }) => {
+  await withAnswersHarness({ scriptOf }, async ({ call }) => {
     const { end } = await call('brief', 'vouched')
     assert.is(runs, 2)
     assert.is(end, 'broken')
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAnswersStreamTail.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAnswersStreamTail.test.ts
@@ -9,7 +9,7 @@
 import * as assert from 'uvu/assert'
 import type { ScriptFraming } from '../../fleet/answers/BendfallFakesAnswersScript.js'
 import type { ScriptChange } from '../../fleet/answers/BendfallFakesAnswersStage.js'
-import { onAnswersStage } from '../../fleet/answers/BendfallFakesAnswersStage.js'
+import { withAnswersHarness } from '../../fleet/answers/BendfallFakesAnswersStage.js'
 
 const FORMS: Readonly<Record<string, ScriptChange>> = {
   'whose last event lacks its empty line': { isLastOpen: true },
@@ -22,7 +22,7 @@
 for (const framing of ['chunked', 'connection', 'length'] as const satisfies readonly ScriptFraming[]) {
   for (const [form, change] of Object.entries(FORMS)) {
     test(`a stream ${form}, with ${framing} framing, arrives completely`, async () => {
-      await onAnswersStage({ scriptOf: ({ asked }) => (asked === 'run' ? { ...change, framing, write: 'pieces', pieces: 3, pieceDelayMs: 2 } : {}) }, async ({ broken, call }) => {
+      await withAnswersHarness({ scriptOf: ({ asked }) => (asked === 'run' ? { ...change, framing, write: 'pieces', pieces: 3, pieceDelayMs: 2 } : {}) }, async ({ broken, call }) => {
         const { answer, end } = await call('summary', `tail-${framing}`)
         assert.equal(broken(), [])
         // A close-delimited stream of this form cannot be told from one that broke within
@@ -36,7 +36,7 @@
 }
 
 test('a close-delimited stream that is closed gracefully within an event keeps all its bytes', async () => {
-  await onAnswersStage({ scriptOf: ({ asked }) => (asked === 'run' ? { framing: 'connection', cut: { how: 'fin', at: 'body', share: 0.5, afterMs: 20 } } : {}) }, async ({ broken, call }) => {
+  await withAnswersHarness({ scriptOf: ({ asked }) => (asked === 'run' ? { framing: 'connection', cut: { how: 'fin', at: 'body', share: 0.5, afterMs: 20 } } : {}) }, async ({ broken, call }) => {
     await call('summary', 'half-event')
     assert.equal(broken(), [])
   })
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAnswersTransferCoding.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAnswersTransferCoding.test.ts
@@ -5,7 +5,7 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import type { ScriptCut } from '../../fleet/answers/BendfallFakesAnswersScript.js'
-import { onAnswersStage } from '../../fleet/answers/BendfallFakesAnswersStage.js'
+import { withAnswersHarness } from '../../fleet/answers/BendfallFakesAnswersStage.js'
 
 const CUTS: Readonly<Record<string, ScriptCut>> = {
   'reset in its middle': { how: 'reset', at: 'body', share: 0.5, afterMs: 30 },
@@ -14,7 +14,7 @@
 
 for (const [name, cut] of Object.entries(CUTS)) {
   test(`a response with a transfer coding other than chunked that is ${name} does not look complete`, async () => {
-    await onAnswersStage({ scriptOf: ({ asked }) => (asked === 'run' ? { framing: 'identity', bodyBytes: 600, cut } : {}) }, async ({ broken, call }) => {
+    await withAnswersHarness({ scriptOf: ({ asked }) => (asked === 'run' ? { framing: 'identity', bodyBytes: 600, cut } : {}) }, async ({ broken, call }) => {
       await call('booking', 'coded')
       await call('summary', 'coded-stream')
       assert.equal(broken(), [])
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesCapacity.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesCapacity.test.ts
@@ -2,8 +2,8 @@
 import * as assert from 'uvu/assert'
 import { readEntryConstants } from '../../capacity/BendfallFakesCapacityEntry.js'
 import { exactly, fitLine, medianOf, plus, times } from '../../capacity/BendfallFakesCapacityFit.js'
-import { judge, judgeRow, rowMaker, sumRows } from '../../capacity/BendfallFakesCapacityRow.js'
-import { DERIVED, OPEN_PER_NODE, placesInUse } from '../../capacity/BendfallFakesCapacitySize.js'
+import { judge, judgeRow, createRowFactory, sumRows } from '../../capacity/BendfallFakesCapacityRow.js'
+import { DERIVED, OPEN_PER_NODE, expectedOccupiedBins } from '../../capacity/BendfallFakesCapacitySize.js'
 import { round } from '../../capacity/BendfallFakesCapacityTable.js'
 
 function assertNear (actual: number, expected: number, tolerance = 1e-9): void {
@@ -53,13 +53,13 @@
 })
 
 test('rows are summed by role, path and resource, without rows of faults', () => {
-  const control = rowMaker('entry', 'control')
+  const control = createRowFactory('entry', 'control')
   const rows = [
     control('traffic', 'a', { value: 2_000, error: 30 }),
     control('traffic', 'b', { value: 4_000, error: 40 }),
     { ...control('traffic', 'c', 9_000), isFault: true },
-    rowMaker('entry', 'data')('cpu', 'd', 0.9),
-    rowMaker('entry', 'data')('traffic', 'e', 1e9)
+    createRowFactory('entry', 'data')('cpu', 'd', 0.9),
+    createRowFactory('entry', 'data')('traffic', 'e', 1e9)
   ]
   const sums = sumRows(rows)
   assert.equal(sums.map(({ path, resource, estimate }) => [path, resource, estimate]), [
@@ -82,8 +82,8 @@
 })
 
 test('items placed at random occupy fewer bins than there are', () => {
-  assertNear(placesInUse(240, 240), 240 * (1 - 1 / Math.E))
-  assertNear(placesInUse(1, 1_000_000), 1, 1e-6)
+  assertNear(expectedOccupiedBins(240, 240), 240 * (1 - 1 / Math.E))
+  assertNear(expectedOccupiedBins(1, 1_000_000), 1, 1e-6)
 })
 
 test('the constants of an entry are derived from its behaviour', () => {
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesCrashingRequest.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesCrashingRequest.test.ts
@@ -1,8 +1,8 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { callCrashEntry, inCrashScene, POISON_PATH } from './CrashScene.js'
-import type { CrashAnswer, CrashEntry } from './CrashScene.js'
+import { callCrashEntry, withCrashHarness, POISON_PATH } from './CrashScene.js'
+import type { CrashResponse, CrashEntry } from './CrashScene.js'
 
 /** Time in which all entries have to learn of the third crash, and the number of sends allowed after it. */
 const PROPAGATION_MS = 3_000
@@ -17,7 +17,7 @@
 const MIN_CALLS = 1_000
 const CRASH_INTERVAL_MS = 500
 
-test('a request that crashed three replicas is sent at most three more times once all entries could learn of it', () => inCrashScene(3, REPLICAS, async ({ arrivals, crashes, entries }) => {
+test('a request that crashed three replicas is sent at most three more times once all entries could learn of it', () => withCrashHarness(3, REPLICAS, async ({ arrivals, crashes, entries }) => {
   const endsAtMs = performance.now() + DURATION_MS
   for (let i = 0; performance.now() < endsAtMs; i++) {
     await callCrashEntry(entries[i % entries.length] as CrashEntry, POISON_PATH)
@@ -29,7 +29,7 @@
   assert.ok(lateSends.length <= MAX_LATE_SENDS, `${lateSends.length} sends later, ${crashes.length} crashes in all`)
 }))
 
-test('a restarted entry refuses a request that crashed three replicas until an operator clears the crash records', () => inCrashScene(2, REPLICAS, async ({ arrivals, crashes, entries, store }) => {
+test('a restarted entry refuses a request that crashed three replicas until an operator clears the crash records', () => withCrashHarness(2, REPLICAS, async ({ arrivals, crashes, entries, store }) => {
   const [first, second] = entries as [CrashEntry, CrashEntry]
   for (const entry of [first, second, first, second]) {
     await callCrashEntry(entry, POISON_PATH)
@@ -46,8 +46,8 @@
   assert.ok(arrivals(POISON_PATH).length > before, 'the request is sent again')
 }))
 
-test('no request is refused for running on replicas that crash independently of it', () => inCrashScene(3, REPLICAS, async ({ entries, replicas }) => {
-  const answers: CrashAnswer[] = []
+test('no request is refused for running on replicas that crash independently of it', () => withCrashHarness(3, REPLICAS, async ({ entries, replicas }) => {
+  const answers: CrashResponse[] = []
   const controller = new AbortController()
   const callers = Array.from({ length: 6 }, async (_, index) => {
     while (!controller.signal.aborted) answers.push(await callCrashEntry(entries[index % entries.length] as CrashEntry, '/r/polled'))
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesCustomers.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesCustomers.test.ts
@@ -3,8 +3,8 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { callEntry, inCustomerScene, REVOKED_WITHIN_MS, withKey } from './CustomerScene.js'
-import type { CustomerAnswer, CustomerCall, CustomerEntry, CustomerScene } from './CustomerScene.js'
+import { callEntry, withCustomerHarness, REVOKED_WITHIN_MS, withKey } from './CustomerScene.js'
+import type { CustomerResponse, CustomerCall, CustomerEntry, CustomerHarness } from './CustomerScene.js'
 
 const ACME = { name: 'acme', 'api-keys': ['secret-of-acme', 'second-of-acme'] }
 const BOLT = { name: 'bolt', 'api-keys': ['secret-of-bolt'] }
@@ -14,16 +14,16 @@
 
 const CALL_PAUSE_MS = 25
 
-function customersSeen ({ replicas }: CustomerScene, id: string): Array<string | undefined> {
+function customersSeen ({ replicas }: CustomerHarness, id: string): Array<string | undefined> {
   return replicas.flatMap(({ seen }) => seen.filter(({ requestId }) => requestId === id).map(({ headers }) => headers['x-tenant'] as string | undefined))
 }
 
-async function callAll (entries: readonly CustomerEntry[], call: CustomerCall): Promise<CustomerAnswer[]> {
+async function callAll (entries: readonly CustomerEntry[], call: CustomerCall): Promise<CustomerResponse[]> {
   return await Promise.all(entries.map((entry) => callEntry(entry, call)))
 }
 
 test('each send to a replica carries the customer of the key, but not the key', async () => {
-  await inCustomerScene(1, [ACME, BOLT], async (scene) => {
+  await withCustomerHarness(1, [ACME, BOLT], async (scene) => {
     const [entry] = scene.entries as [CustomerEntry]
     for (const path of ['/r/1', '/s/1', '/open/1']) {
       const { id, status } = await callEntry(entry, { path, headers: [['X-Tenant', 'bolt'], ['X-Api-Key', 'secret-of-acme']] })
@@ -56,7 +56,7 @@
 ]
 
 test('requests without a valid key are refused, except on routes that allow anonymous requests', async () => {
-  await inCustomerScene(1, [ACME, BOLT], async (scene) => {
+  await withCustomerHarness(1, [ACME, BOLT], async (scene) => {
     const [entry] = scene.entries as [CustomerEntry]
     for (const [what, headers] of INVALID_KEYS) {
       assert.is((await callEntry(entry, { path: '/r/1', headers })).status, 401, what)
@@ -70,7 +70,7 @@
 })
 
 test('requests with random keys cause no calls to the store', async () => {
-  await inCustomerScene(1, [ACME], async (scene) => {
+  await withCustomerHarness(1, [ACME], async (scene) => {
     const [entry] = scene.entries as [CustomerEntry]
     await sleep(500)
     const countCalls = (): number => scene.store.calls()
@@ -90,15 +90,15 @@
 })
 
 const FAULTS: ReadonlyArray<readonly [string, (entry: CustomerEntry) => void]> = [
-  ['whose connections to the store become silent', ({ proxy }) => proxy.harm('silent')],
-  ['that can send to the store but receives nothing', ({ proxy }) => proxy.harm('one_way')]
+  ['whose connections to the store become silent', ({ proxy }) => proxy.injectFault('silent')],
+  ['that can send to the store but receives nothing', ({ proxy }) => proxy.injectFault('one_way')]
 ]
 
 for (const [what, disconnect] of FAULTS) {
   test(`a revoked key is refused within the time limit, also at an entry ${what}`, async () => {
-    await inCustomerScene(3, [ACME, BOLT], async (scene) => {
+    await withCustomerHarness(3, [ACME, BOLT], async (scene) => {
       const [, , disconnected] = scene.entries as [CustomerEntry, CustomerEntry, CustomerEntry]
-      const runsOf = (key: string): Promise<CustomerAnswer[]> => callAll(scene.entries, { path: '/r/1', headers: withKey(key) })
+      const runsOf = (key: string): Promise<CustomerResponse[]> => callAll(scene.entries, { path: '/r/1', headers: withKey(key) })
       assert.equal((await runsOf('secret-of-acme')).map(({ status }) => status), [200, 200, 200])
       disconnect(disconnected)
       await sleep(100)
@@ -108,10 +108,10 @@
       const served = { disconnected: 0, others: 0, open: 0 }
       while (performance.now() - revokedAtMs < REVOKED_WITHIN_MS + 1_500) {
         const sentMs = performance.now() - revokedAtMs
-        const [first, second, third] = await runsOf('secret-of-acme') as [CustomerAnswer, CustomerAnswer, CustomerAnswer]
+        const [first, second, third] = await runsOf('secret-of-acme') as [CustomerResponse, CustomerResponse, CustomerResponse]
         if (sentMs > APPLIED_MS && (first.status !== 401 || second.status !== 401)) violations.push(`connected entries: ${first.status}, ${second.status} at ${sentMs}`)
         if (sentMs > REVOKED_WITHIN_MS && third.status === 200) violations.push(`disconnected entry: served at ${sentMs}`)
-        const other = await runsOf('secret-of-bolt') as [CustomerAnswer, CustomerAnswer, CustomerAnswer]
+        const other = await runsOf('secret-of-bolt') as [CustomerResponse, CustomerResponse, CustomerResponse]
         if (other[0].status === 200) served.others += 1
         if (other[2].status === 200) served.disconnected += 1
         else assert.ok((other[2].retryAfterS ?? Infinity) < 1 && other[2].status === 503, `${other[2].status} ${other[2].body}`)
@@ -121,7 +121,7 @@
       assert.equal(violations, [])
       assert.ok(served.disconnected > 5 && served.disconnected < served.others, JSON.stringify(served))
       assert.is(served.open, served.others)
-      disconnected.proxy.harm(undefined)
+      disconnected.proxy.injectFault(undefined)
       await sleep(3_000)
       assert.equal((await runsOf('secret-of-bolt')).map(({ status }) => status), [200, 200, 200])
       assert.equal((await runsOf('secret-of-acme')).map(({ status }) => status), [401, 401, 401])
@@ -130,7 +130,7 @@
 }
 
 test('keys appear in no log line, metric, stored document or request to a replica', async () => {
-  await inCustomerScene(2, [ACME, BOLT], async (scene) => {
+  await withCustomerHarness(2, [ACME, BOLT], async (scene) => {
     for (let version = 2; version < 6; version++) {
       scene.configure(version, version % 2 === 0 ? [{ ...ACME, 'api-keys': ['second-of-acme'] }, { ...BOLT, 'api-keys': ['secret-of-bolt', 'secret-of-acme'] }] : [ACME, BOLT])
       scene.plain[0]?.failNext('garbled')
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesEnds.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesEnds.test.ts
@@ -1,8 +1,8 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { inEndsScene, LARGE_BODY, readAnswers, until } from './EndsScene.js'
-import type { EndsScene, RawCaller } from './EndsScene.js'
+import { withEndsHarness, LARGE_BODY, parseResponses, waitUntil } from './EndsScene.js'
+import type { EndsHarness, RawCaller } from './EndsScene.js'
 
 // Guards against a truncated response that looks complete to its caller. The entry was forwarding
 // a close-delimited stream when its process ended, and the kernel closed the connections of the
@@ -29,7 +29,7 @@
 const LONGER_THAN_IDLE_STOP_MS = 4_000
 
 /** Starts streams in each framing, also with HTTP/1.0, and returns their callers once part of each stream has arrived. */
-async function startStreams (scene: EndsScene): Promise<RawCaller[]> {
+async function startStreams (scene: EndsHarness): Promise<RawCaller[]> {
   const callers = [
     scene.call([{ path: '/stream/unframed/1' }]),
     scene.call([{ path: '/stream/unframed/2' }]),
@@ -37,14 +37,14 @@
     scene.call([{ path: '/stream/chunked/4', version: '1.0' }]),
     scene.call([{ path: '/stream/unframed/5', version: '1.0' }])
   ]
-  await until(() => callers.every(({ text }) => text().length > RECEIVED_BYTES))
+  await waitUntil(() => callers.every(({ text }) => text().length > RECEIVED_BYTES))
   return callers
 }
 
 async function assertNoneLooksComplete (callers: readonly RawCaller[]): Promise<void> {
   for (const caller of callers) {
     const end = await caller.ended
-    const [answer, ...others] = readAnswers(caller.text(), end)
+    const [answer, ...others] = parseResponses(caller.text(), end)
     assert.is(answer?.status, 200)
     assert.ok(answer !== undefined && !answer.looksComplete, `${answer?.framing} ${end} ${answer?.body.slice(-40)}`)
     assert.is(others.length, 0)
@@ -52,7 +52,7 @@
 }
 
 test('streams that outlast the grace period do not look complete', async () => {
-  await inEndsScene({}, async (scene) => {
+  await withEndsHarness({}, async (scene) => {
     const callers = await startStreams(scene)
     scene.process.signal('SIGTERM')
     assert.is(await scene.process.exited, 0)
@@ -61,7 +61,7 @@
 })
 
 test('streams do not look complete when an uncaught error ends the process', async () => {
-  await inEndsScene({ preload: 'process.on("SIGUSR2",()=>{throw new Error("nobody catches it")})' }, async (scene) => {
+  await withEndsHarness({ preload: 'process.on("SIGUSR2",()=>{throw new Error("nobody catches it")})' }, async (scene) => {
     const callers = await startStreams(scene)
     process.kill(scene.process.pid, 'SIGUSR2')
     assert.is(await scene.process.exited, 1)
@@ -71,7 +71,7 @@
 })
 
 test('streams do not look complete when an unhandled rejection ends the process', async () => {
-  await inEndsScene({ preload: 'process.on("SIGUSR2",()=>{Promise.reject(new Error("nobody catches it"))})' }, async (scene) => {
+  await withEndsHarness({ preload: 'process.on("SIGUSR2",()=>{Promise.reject(new Error("nobody catches it"))})' }, async (scene) => {
     const callers = await startStreams(scene)
     process.kill(scene.process.pid, 'SIGUSR2')
     assert.is(await scene.process.exited, 1)
@@ -80,7 +80,7 @@
 })
 
 test('streams do not look complete when the shutdown fails', async () => {
-  await inEndsScene({ preload: 'import{Server}from"node:http";Server.prototype.close=()=>{throw new Error("close")}' }, async (scene) => {
+  await withEndsHarness({ preload: 'import{Server}from"node:http";Server.prototype.close=()=>{throw new Error("close")}' }, async (scene) => {
     const callers = await startStreams(scene)
     scene.process.signal('SIGTERM')
     assert.is(await scene.process.exited, 1)
@@ -90,15 +90,15 @@
 })
 
 test('further signals do not end a process that is shutting down', async () => {
-  await inEndsScene({ stopGraceS: 6 }, async (scene) => {
+  await withEndsHarness({ stopGraceS: 6 }, async (scene) => {
     const late = scene.call([{ path: '/call/1500/late' }])
-    await until(() => scene.reached.length === 1)
+    await waitUntil(() => scene.reached.length === 1)
     for (const signal of ['SIGTERM', 'SIGHUP', 'SIGTERM', 'SIGTERM'] as const) {
       if (scene.process.isRunning()) process.kill(scene.process.pid, signal)
       await sleep(100)
     }
     const end = await late.ended
-    const [answer] = readAnswers(late.text(), end)
+    const [answer] = parseResponses(late.text(), end)
     assert.is(answer?.body, 'answer to /call/1500/late')
     assert.is(answer.looksComplete, true)
     assert.is(await scene.process.exited, 0)
@@ -108,22 +108,22 @@
 // The process cannot handle SIGKILL, after which the kernel closes open connections gracefully.
 // Only responses whose framing marks their end are safe then; close-delimited streams are not.
 test('partial responses with a length, in chunks or buffered by the entry do not look complete when the process is killed', async () => {
-  await inEndsScene({}, async (scene) => {
+  await withEndsHarness({}, async (scene) => {
     const large = ['large', 'unframed'].flatMap((how) => Array.from({ length: KILLED_CALLS }, (_, index) => scene.call([{ path: `/call/${how}/${index}` }])))
     const stream = scene.call([{ path: '/stream/chunked/1' }])
-    await until(() => stream.text().length > RECEIVED_BYTES && scene.reached.length > KILLED_CALLS)
+    await waitUntil(() => stream.text().length > RECEIVED_BYTES && scene.reached.length > KILLED_CALLS)
     scene.process.signal('SIGKILL')
     await assertNoneLooksComplete([stream])
     for (const caller of large) {
       const end = await caller.ended
-      const [answer] = readAnswers(caller.text(), end)
+      const [answer] = parseResponses(caller.text(), end)
       assert.ok(answer === undefined || !answer.looksComplete || answer.body === LARGE_BODY, `${answer?.framing} ${end} ${answer?.body.length}`)
     }
   })
 })
 
 test('every caller of a stream that breaks sees a reset', async () => {
-  await inEndsScene({}, async (scene) => {
+  await withEndsHarness({}, async (scene) => {
     const ends = { fin: 0, rst: 0 }
     let next = 0
     const callInTurn = async (): Promise<void> => {
@@ -141,16 +141,16 @@
 // Responses that were complete in the process were truncated when it ended if their caller read
 // slowly: server.close() ends a connection as soon as the last response has been written to it.
 test('complete responses that a slow caller has not read yet are delivered before the process ends', async () => {
-  await inEndsScene({ stopGraceS: 16 }, async (scene) => {
+  await withEndsHarness({ stopGraceS: 16 }, async (scene) => {
     const paths = Array.from({ length: SLOW_CALLS }, (_, index) => ({ path: `/call/large/${index}` }))
     const slow = scene.call(paths, { isReading: false })
-    await until(() => scene.reached.length > 0)
+    await waitUntil(() => scene.reached.length > 0)
     await sleep(SETTLED_MS)
     scene.process.signal('SIGTERM')
     await sleep(LONGER_THAN_IDLE_STOP_MS)
     slow.socket.resume()
     const end = await slow.ended
-    const answers = readAnswers(slow.text(), end)
+    const answers = parseResponses(slow.text(), end)
     assert.is(answers.filter(({ body }) => body === LARGE_BODY).length, SLOW_CALLS)
     assert.is(answers.length, SLOW_CALLS)
     assert.is(await scene.process.exited, 0)
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesEndsConnections.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesEndsConnections.test.ts
@@ -1,8 +1,8 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { inEndsScene, readAnswers, until } from './EndsScene.js'
-import type { EndsScene } from './EndsScene.js'
+import { withEndsHarness, parseResponses, waitUntil } from './EndsScene.js'
+import type { EndsHarness } from './EndsScene.js'
 
 // Guards against wrong or truncated responses caused by bytes that follow a request on its
 // connection. The server closed a connection gracefully in the middle of a close-delimited
@@ -23,8 +23,8 @@
 const PARTIAL_HEAD = 'GET /call/0/next HTTP/1.1\r\nHost: ends'
 const INVALID_HEAD = 'no head\r\n\r\n'
 
-async function withScene (run: (scene: EndsScene) => Promise<void>): Promise<void> {
-  await inEndsScene({ stopGraceS: GRACE_S }, run)
+async function withScene (run: (scene: EndsHarness) => Promise<void>): Promise<void> {
+  await withEndsHarness({ stopGraceS: GRACE_S }, run)
 }
 
 for (const [name, following] of [['a partial head', PARTIAL_HEAD], ['an invalid head', INVALID_HEAD]] as const) {
@@ -32,22 +32,22 @@
     await withScene(async (scene) => {
       const path = `/call/${LATE_MS}/own`
       const caller = scene.call([{ path }])
-      await until(() => scene.reached.length === 1)
+      await waitUntil(() => scene.reached.length === 1)
       caller.socket.write(following)
-      await until(() => caller.text().length > 0)
-      const [answer] = readAnswers(caller.text(), 'fin')
+      await waitUntil(() => caller.text().length > 0)
+      const [answer] = parseResponses(caller.text(), 'fin')
       assert.is(answer?.status, 200)
       assert.is(answer.body, `answer to ${path}`)
       // The following bytes get a response of their own, after that of the call.
       const end = await caller.ended
-      assert.ok(readAnswers(caller.text(), end).slice(1).every(({ status }) => status === 400 || status === 408))
+      assert.ok(parseResponses(caller.text(), end).slice(1).every(({ status }) => status === 400 || status === 408))
     })
   })
 
   test(`a close-delimited stream whose request is followed by ${name} does not look complete`, async () => {
     await withScene(async (scene) => {
       const caller = scene.call([{ path: '/stream/unframed/1' }])
-      await until(() => caller.text().length > RECEIVED_BYTES)
+      await waitUntil(() => caller.text().length > RECEIVED_BYTES)
       caller.socket.write(following)
       const end = await Promise.race([caller.ended, sleep(LATE_MS, 'open' as const)])
       assert.is.not(end, 'fin')
@@ -60,7 +60,7 @@
     // The stream is silent at that point: a caller that has half-closed its connection cannot tell a
     // reset that arrives together with bytes from a graceful close.
     const caller = scene.call([{ path: '/stream/quiet/1' }])
-    await until(() => caller.text().endsWith('data: piece 2\n\n'))
+    await waitUntil(() => caller.text().endsWith('data: piece 2\n\n'))
     caller.socket.end()
     assert.is(await caller.ended, 'rst')
   })
@@ -69,10 +69,10 @@
 test('all forwarded requests of one connection are answered during a shutdown', async () => {
   await withScene(async (scene) => {
     const caller = scene.call([{ path: '/call/500/a' }, { path: '/call/600/b' }, { path: '/call/700/c' }])
-    await until(() => scene.reached.length > 0)
+    await waitUntil(() => scene.reached.length > 0)
     scene.process.signal('SIGTERM')
     const end = await caller.ended
-    const bodies = readAnswers(caller.text(), end).map(({ body }) => body)
+    const bodies = parseResponses(caller.text(), end).map(({ body }) => body)
     assert.equal(bodies, scene.reached.map((path) => `answer to ${path}`))
     assert.is(bodies.length, 3)
   })
@@ -81,7 +81,7 @@
 test('a request pipelined behind a response that ends its connection is not forwarded', async () => {
   await withScene(async (scene) => {
     const caller = scene.call([{ path: '/stream/unframed/1' }, { path: '/call/0/behind' }])
-    await until(() => caller.text().length > RECEIVED_BYTES)
+    await waitUntil(() => caller.text().length > RECEIVED_BYTES)
     await sleep(100)
     assert.equal(scene.reached, ['/stream/unframed/1'])
   })
@@ -93,11 +93,11 @@
     const callInTurn = async (name: number): Promise<void> => {
       const caller = scene.call([{ path: `/call/20/${name}-0` }])
       for (let count = 1; !caller.socket.destroyed; count++) {
-        await until(() => caller.socket.destroyed || readAnswers(caller.text(), 'rst').filter(({ looksComplete }) => looksComplete).length === count)
+        await waitUntil(() => caller.socket.destroyed || parseResponses(caller.text(), 'rst').filter(({ looksComplete }) => looksComplete).length === count)
         if (!caller.socket.destroyed) caller.send([{ path: `/call/20/${name}-${count}` }])
       }
       await caller.ended
-      for (const { body, looksComplete } of readAnswers(caller.text(), 'rst')) if (looksComplete) answered.push(body)
+      for (const { body, looksComplete } of parseResponses(caller.text(), 'rst')) if (looksComplete) answered.push(body)
     }
     const callUntilRefused = async (name: number): Promise<void> => {
       for (let round = 0; scene.process.isRunning(); round++) await callInTurn(name * MAX_ROUNDS + round)
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesEngine.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesEngine.test.ts
@@ -1,7 +1,7 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { createWeightStoreStandIn, expectedTokens } from '../../index.js'
-import { DECODE, PREFILL, REF, eventually, never, prefillAndImport, withEngine } from './BendfallFakesHarness.js'
+import { DECODE, PREFILL, REF, eventually, neverAborted, prefillAndImport, withEngine } from './BendfallFakesHarness.js'
 
 const ORDER = { model: 'm', modelVersion: '1', adapters: [], role: 'decode', weightBytes: 1_000_000 } as const
 
@@ -14,7 +14,7 @@
   const end = await engine.decode(DECODE, (index, batch) => {
     assert.is(index, tokens.length)
     tokens.push(...batch)
-  }, never)
+  }, neverAborted)
   assert.equal(end, { type: 'finished', tokenCount: 5 })
   assert.equal(tokens, expectedTokens('tender', 5))
   assert.equal(standIn.state().attempts, [])
@@ -24,7 +24,7 @@
   const allTokens = expectedTokens('tender', 5)
   const received: Array<readonly [number, readonly string[]]> = []
   await prefillAndImport(engine)
-  await engine.decode({ ...DECODE, resumeTokens: allTokens.slice(0, 2) }, (index, tokens) => received.push([index, tokens]), never)
+  await engine.decode({ ...DECODE, resumeTokens: allTokens.slice(0, 2) }, (index, tokens) => received.push([index, tokens]), neverAborted)
   assert.equal(received, [[2, allTokens.slice(2, 4)], [4, allTokens.slice(4)]])
   assert.not.equal(allTokens, expectedTokens('other', 5))
 }))
@@ -32,7 +32,7 @@
 test('prefills run one at a time, in order of priority', () => withEngine({}, async (engine, standIn) => {
   const ended: string[] = []
   const prefill = async (requestId: string, priority: number, promptTokens: number): Promise<void> => {
-    const running = engine.prefill({ ...PREFILL, requestId, priority, promptTokens, prefixHashes: [] }, never).then(() => ended.push(requestId))
+    const running = engine.prefill({ ...PREFILL, requestId, priority, promptTokens, prefixHashes: [] }, neverAborted).then(() => ended.push(requestId))
     await eventually(() => standIn.state().attempts.some((attempt) => attempt.requestId === requestId))
     runs.push(running)
   }
@@ -46,23 +46,23 @@
 }))
 
 test('a prompt with a cached prefix is processed only in part', () => withEngine({ cacheEventGapEvery: 2 }, async (engine, standIn) => {
-  await engine.prefill(PREFILL, never)
-  const again = await engine.prefill({ ...PREFILL, requestId: 'r2', prefixHashes: ['a', 'z'] }, never)
+  await engine.prefill(PREFILL, neverAborted)
+  const again = await engine.prefill({ ...PREFILL, requestId: 'r2', prefixHashes: ['a', 'z'] }, neverAborted)
   assert.is(again.type === 'done' && again.cachedTokens, 50)
   const response = await (await fetch(`${standIn.url}/cache-events?since=0`)).json() as { events: Array<{ prefixHash: string }> }
   assert.equal(response.events.map((event) => event.prefixHash), ['a', 'z'])
 }))
 
 test('an import of an evicted result reports that the KV cache is lost', () => withEngine({ evictsInMs: 0 }, async (engine, standIn) => {
-  const outcome = await engine.importKv({ ...REF, handle: 'kv-1', exportUrl: `${standIn.url}/kv/kv-1`, kvBytes: 1 }, () => {}, never)
+  const outcome = await engine.importKv({ ...REF, handle: 'kv-1', exportUrl: `${standIn.url}/kv/kv-1`, kvBytes: 1 }, () => {}, neverAborted)
   assert.is(outcome.type === 'failed' && outcome.kvLost, true)
   assert.equal(standIn.state().attempts, [])
 }))
 
 test('an import that exceeds the memory fails and holds none', () => withEngine({ totalKvBytes: 99_999 }, async (engine, standIn) => {
-  const result = await engine.prefill(PREFILL, never)
+  const result = await engine.prefill(PREFILL, neverAborted)
   if (result.type !== 'done') throw new Error(result.detail)
-  assert.equal(await engine.importKv({ ...REF, ...result }, () => {}, never), { type: 'failed', kvLost: false, detail: 'memory full' })
+  assert.equal(await engine.importKv({ ...REF, ...result }, () => {}, neverAborted), { type: 'failed', kvLost: false, detail: 'memory full' })
   assert.equal(standIn.state().attempts, [])
 }))
 
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesEngineFaults.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesEngineFaults.test.ts
@@ -1,7 +1,7 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { createEngineStandIn } from '../../index.js'
-import { DECODE, PREFILL, REF, eventually, never, prefillAndImport, withEngine } from './BendfallFakesHarness.js'
+import { DECODE, PREFILL, REF, eventually, neverAborted, prefillAndImport, withEngine } from './BendfallFakesHarness.js'
 
 test('an aborted decode fails and is cancelled at the engine', () => withEngine({ stepMs: 5 }, async (engine, standIn) => {
   const controller = new AbortController()
@@ -22,7 +22,7 @@
 
 test('a lost cancel is not confirmed and the memory stays held until the next cancel', () => withEngine({}, async (engine, standIn) => {
   await prefillAndImport(engine)
-  standIn.fail({ mode: 'lose_cancel', count: 1 })
+  standIn.injectFault({ mode: 'lose_cancel', count: 1 })
   assert.is(await engine.cancel(REF), false)
   assert.is(standIn.state().usedKvBytes, 100_000)
   assert.is(await engine.cancel(REF), true)
@@ -32,7 +32,7 @@
 
 test('a cancel that arrives before its call is remembered', () => withEngine({}, async (engine, standIn) => {
   assert.is(await engine.cancel(REF), true)
-  assert.is((await engine.prefill(PREFILL, never)).type, 'failed')
+  assert.is((await engine.prefill(PREFILL, neverAborted)).type, 'failed')
   assert.equal(standIn.state().attempts, [])
 }))
 
@@ -44,9 +44,9 @@
 
 test('a transfer that stalls partway ends when the import is aborted', () => withEngine({}, async (engine, standIn) => {
   const controller = new AbortController()
-  const result = await engine.prefill(PREFILL, never)
+  const result = await engine.prefill(PREFILL, neverAborted)
   if (result.type !== 'done') throw new Error(result.detail)
-  standIn.fail({ mode: 'stall_transfer', pathPrefix: '/kv/' })
+  standIn.injectFault({ mode: 'stall_transfer', pathPrefix: '/kv/' })
   const progress: number[] = []
   const outcome = await engine.importKv({ ...REF, ...result }, (bytes) => {
     progress.push(bytes)
@@ -58,10 +58,10 @@
 }))
 
 test('an import that stalls before its transfer starts holds memory until a cancel', () => withEngine({}, async (engine, standIn) => {
-  const result = await engine.prefill(PREFILL, never)
+  const result = await engine.prefill(PREFILL, neverAborted)
   if (result.type !== 'done') throw new Error(result.detail)
-  standIn.fail({ mode: 'stall_transfer', pathPrefix: '/imports' })
-  const outcome = engine.importKv({ ...REF, ...result }, () => {}, never)
+  standIn.injectFault({ mode: 'stall_transfer', pathPrefix: '/imports' })
+  const outcome = engine.importKv({ ...REF, ...result }, () => {}, neverAborted)
   await eventually(() => standIn.state().usedKvBytes === 100_000)
   assert.is(await engine.cancel(REF), true)
   assert.is((await outcome).type, 'failed')
@@ -82,16 +82,16 @@
   const source = await createEngineStandIn({ prefillTokensPerSecond: 1_000_000 })
   await source.close()
   await withEngine({}, async (engine) => {
-    const outcome = await engine.importKv({ ...REF, handle: 'kv-1', exportUrl: `${source.url}/kv/kv-1`, kvBytes: 1 }, () => {}, never)
+    const outcome = await engine.importKv({ ...REF, handle: 'kv-1', exportUrl: `${source.url}/kv/kv-1`, kvBytes: 1 }, () => {}, neverAborted)
     assert.is(outcome.type === 'failed' && outcome.kvLost, true)
   })
 })
 
 test('a crash during a decode aborts the stream and loses the memory', () => withEngine({}, async (engine, standIn) => {
   await prefillAndImport(engine)
-  standIn.fail({ mode: 'crash_decode', count: 1 })
+  standIn.injectFault({ mode: 'crash_decode', count: 1 })
   const tokens: string[] = []
-  const end = await engine.decode(DECODE, (_index, batch) => tokens.push(...batch), never)
+  const end = await engine.decode(DECODE, (_index, batch) => tokens.push(...batch), neverAborted)
   assert.is(end.type, 'failed')
   assert.ok(tokens.length <= 1)
   assert.equal([standIn.state().usedKvBytes, standIn.state().handles], [0, []])
@@ -100,13 +100,13 @@
 for (const mode of ['garbage', 'half_answer', 'outage'] as const) {
   test(`a decode fails with a typed outcome under fault ${mode}`, () => withEngine({}, async (engine, standIn) => {
     await prefillAndImport(engine)
-    standIn.fail({ mode, count: 1 })
-    assert.is((await engine.decode(DECODE, () => {}, never)).type, 'failed')
+    standIn.injectFault({ mode, count: 1 })
+    assert.is((await engine.decode(DECODE, () => {}, neverAborted)).type, 'failed')
   }))
 
   test(`a prefill, a report and an order fail with typed outcomes under fault ${mode}`, () => withEngine({}, async (engine, standIn) => {
-    standIn.fail({ mode })
-    assert.is((await engine.prefill(PREFILL, never)).type, 'failed')
+    standIn.injectFault({ mode })
+    assert.is((await engine.prefill(PREFILL, neverAborted)).type, 'failed')
     assert.is(await engine.report(), undefined)
     assert.is((await engine.order(1, { model: 'm', modelVersion: '1', adapters: [], role: 'decode', weightBytes: 1 })).type, 'failed')
     standIn.reset()
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesEra.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesEra.test.ts
@@ -6,7 +6,7 @@
 import { startFleetStore } from '../../fleet/BendfallFakesFleetStore.js'
 import { ip } from './EntryScene.js'
 
-const DRILL = { copyAgeMs: 0, awayMs: 30 }
+const DRILL = { backupAgeMs: 0, outageMs: 30 }
 
 async function withStore (run: (store: FleetStore, port: KeyValuePort) => Promise<void>): Promise<void> {
   const store = await startFleetStore(ip(1))
@@ -34,7 +34,7 @@
   const beforeMs = performance.now()
   await new Promise((resolve) => { setTimeout(resolve, 20) })
   await act()
-  await store.restore({ ...DRILL, copyAgeMs: performance.now() - beforeMs - 10 })
+  await store.restore({ ...DRILL, backupAgeMs: performance.now() - beforeMs - 10 })
 }
 
 test('a lease of a previous era has lapsed, even if its number was reused', async () => {
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesFleet.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesFleet.test.ts
@@ -138,7 +138,7 @@
 const failAll = (replicas: readonly FleetReplica[], fault: FleetReplicaFault): void => replicas.forEach((replica) => replica.failNext(fault))
 
 test.before.each(() => {
-  for (const replica of [...Object.values(fleet.models), ...fleet.plain]) replica.heal()
+  for (const replica of [...Object.values(fleet.models), ...fleet.plain]) replica.clearFaults()
 })
 
 test('a prompt is processed by a prefill replica and answered by a decode replica', async () => {
@@ -217,7 +217,7 @@
 // A faulty replica may send a duplicate response on the connection of a later request.
 test('a run uses the KV memory of its own prompt when replicas send duplicate responses', async () => {
   const { prefill } = fleet.models
-  prefill.answerTwice()
+  prefill.duplicateResponses()
   const requestIds = Array.from({ length: 8 }, (_, index) => `twice-${index}`)
   for (const id of requestIds) await callEntry({ path: '/s/1', method: 'POST', body: 'document', headers: { ...PROMPT, 'x-request-id': id } })
   const owners = new Map(prefill.seen.map(({ handle, requestId }) => [handle, requestId]))
@@ -230,7 +230,7 @@
 })
 
 test('a caller gets its own response or none when replicas send duplicate responses', async () => {
-  for (const replica of fleet.plain) replica.answerTwice()
+  for (const replica of fleet.plain) replica.duplicateResponses()
   for (let i = 0; i < 12; i++) {
     const id = `stutter-${i}`
     const response = await callEntry({ path: '/k/1', method: 'POST', body: 'x', headers: { 'x-request-id': id } })
@@ -240,7 +240,7 @@
 })
 
 test('a duplicate refusal does not apply to the next request', async () => {
-  for (const replica of fleet.plain) replica.answerTwice()
+  for (const replica of fleet.plain) replica.duplicateResponses()
   for (let i = 0; i < 12; i++) {
     fleet.plain[i % 2]?.failNext('not_run')
     const id = `refused-${i}`
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesForeign.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesForeign.test.ts
@@ -3,7 +3,7 @@
 import * as assert from 'uvu/assert'
 import { startFleetReplica } from '../../fleet/BendfallFakesFleetReplica.js'
 import { startFleetProxy } from '../../fleet/soak/BendfallFakesFleetProxy.js'
-import { call, CALLERS, inScene, ip, registrationOf } from './EntryScene.js'
+import { call, CALLERS_ENDPOINT, withEntryHarness, ip, registrationOf } from './EntryScene.js'
 
 /** Time after which the entry has received a write: for writes in a row at most 0.35 of the 2 s within which a change must be known. */
 const WATCH_DELAY_MS = 800
@@ -31,13 +31,13 @@
 /** Makes calls one after the other and returns their statuses. */
 async function statusesOf (calls: number): Promise<number[]> {
   const statuses: number[] = []
-  for (let i = 0; i < calls; i++) statuses.push(await call({ ...CALLERS, path: '/r/1', id: `call-${i}` }))
+  for (let i = 0; i < calls; i++) statuses.push(await call({ ...CALLERS_ENDPOINT, path: '/r/1', id: `call-${i}` }))
   return statuses
 }
 
-test('a value of another writer adds no replica, and the registered ones stay in use', () => inScene(async (scene) => {
+test('a value of another writer adds no replica, and the registered ones stay in use', () => withEntryHarness(async (scene) => {
   for (const [what, createValue] of FOREIGN_VALUES) {
-    scene.store.put('servers/i-foreign', createValue(registrationOf(scene.leaves)))
+    scene.store.put('servers/i-foreign', createValue(registrationOf(scene.leavingReplica)))
     await sleep(WATCH_DELAY_MS)
     assert.is(scene.entry.state().replicas.has('i-foreign'), false, what)
     assert.equal([...scene.entry.state().replicas.keys()].sort(), ['i-leaves', 'i-stays'], what)
@@ -45,24 +45,24 @@
   }
 }))
 
-test('a replica is removed when its registration becomes unreadable', () => inScene(async (scene) => {
+test('a replica is removed when its registration becomes unreadable', () => withEntryHarness(async (scene) => {
   for (const [what, createValue] of FOREIGN_VALUES) {
-    scene.store.put('servers/i-leaves', registrationOf(scene.leaves))
+    scene.store.put('servers/i-leaves', registrationOf(scene.leavingReplica))
     await sleep(WATCH_DELAY_MS)
     assert.is(scene.entry.state().replicas.has('i-leaves'), true, what)
-    scene.store.put('servers/i-leaves', createValue(registrationOf(scene.leaves)))
+    scene.store.put('servers/i-leaves', createValue(registrationOf(scene.leavingReplica)))
     await sleep(WATCH_DELAY_MS)
     assert.is(scene.entry.state().replicas.has('i-leaves'), false, what)
   }
 }))
 
-test('a call that hangs at a replica that restarts under the same id is served by the new process', () => inScene(async (scene) => {
-  const hidden = await startFleetProxy(scene.leaves.address)
+test('a call that hangs at a replica that restarts under the same id is served by the new process', () => withEntryHarness(async (scene) => {
+  const hidden = await startFleetProxy(scene.leavingReplica.address)
   scene.store.put('servers/i-leaves', registrationOf(hidden, { born: 1_000 }))
   scene.store.remove('servers/i-stays')
   await sleep(SINGLE_WATCH_DELAY_MS)
-  hidden.harm('silent')
-  const response = call({ ...CALLERS, path: '/r/1', id: 'hangs' })
+  hidden.injectFault('silent')
+  const response = call({ ...CALLERS_ENDPOINT, path: '/r/1', id: 'hangs' })
   await sleep(SINGLE_WATCH_DELAY_MS)
   const successor = await startFleetReplica({ host: ip(13), replicaId: 'i-leaves' })
   scene.store.put('servers/i-leaves', registrationOf(successor, { born: 2_000 }))
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesHarness.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesHarness.ts
@@ -10,7 +10,7 @@
 export const REF = { requestId: 'r1', attempt: 1 }
 export const PREFILL = { ...REF, model: 'm', prompt: 'tender', promptTokens: 100, prefixHashes: ['a', 'b'], priority: 1 }
 export const DECODE = { ...REF, model: 'm', prompt: 'tender', maxOutputTokens: 5, resumeTokens: [], priority: 1 }
-export const never: AbortSignal = new AbortController().signal
+export const neverAborted: AbortSignal = new AbortController().signal
 
 export async function withEngine (options: EngineOptions, run: (engine: EnginePort, standIn: EngineStandIn) => Promise<void>): Promise<void> {
   const standIn = await createEngineStandIn({ ...FAST_ENGINE, ...options })
@@ -24,9 +24,9 @@
 }
 
 export async function prefillAndImport (engine: EnginePort, onProgress: (bytes: number) => void = () => {}): Promise<void> {
-  const result = await engine.prefill(PREFILL, never)
+  const result = await engine.prefill(PREFILL, neverAborted)
   if (result.type !== 'done') throw new Error(result.detail)
-  assert.equal(await engine.importKv({ ...REF, ...result }, onProgress, never), { type: 'done' })
+  assert.equal(await engine.importKv({ ...REF, ...result }, onProgress, neverAborted), { type: 'done' })
 }
 
 export async function eventually (condition: () => boolean): Promise<void> {
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesLeaving.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesLeaving.test.ts
@@ -14,7 +14,7 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { callFor, inScene, registrationOf } from './EntryScene.js'
+import { callFor, withEntryHarness, registrationOf } from './EntryScene.js'
 
 /** Time after its announcement within which a replica that shuts down may still get new requests. */
 const DRAIN_MS = 2_000
@@ -27,26 +27,26 @@
 /** Time until the entry has measured latencies. */
 const WARM_UP_MS = 300
 
-test('a replica removed while the entry was disconnected from the store gets no requests once the entry has recovered', () => inScene(async (harness) => {
+test('a replica removed while the entry was disconnected from the store gets no requests once the entry has recovered', () => withEntryHarness(async (harness) => {
   assert.ok((await callFor(harness, WARM_UP_MS)).atLeaving > 0, 'both replicas are used')
-  harness.storeProxy.harm('silent')
+  harness.storeProxy.injectFault('silent')
   await sleep(OUTAGE_MS - 500)
   harness.store.remove('servers/i-leaves')
   await sleep(500)
-  harness.storeProxy.harm(undefined)
+  harness.storeProxy.injectFault(undefined)
   await sleep(RECOVERY_MS)
   const { answered, atLeaving } = await callFor(harness, 1_500)
   assert.ok(answered > 20, `${answered} answered`)
   assert.is(atLeaving, 0)
 }))
 
-test('a replica that starts draining while the store connections are silent gets no requests after the drain time', () => inScene(async (harness) => {
+test('a replica that starts draining while the store connections are silent gets no requests after the drain time', () => withEntryHarness(async (harness) => {
   assert.ok((await callFor(harness, WARM_UP_MS)).atLeaving > 0, 'both replicas are used')
   // The change ends the current watch, so that the next one starts now.
-  harness.store.put('servers/i-stays', registrationOf(harness.stays))
+  harness.store.put('servers/i-stays', registrationOf(harness.stayingReplica))
   await sleep(50)
   harness.storeProxy.silence()
-  harness.store.put('servers/i-leaves', registrationOf(harness.leaves, { state: 'draining' }))
+  harness.store.put('servers/i-leaves', registrationOf(harness.leavingReplica, { state: 'draining' }))
   await sleep(DRAIN_MS)
   const { answered, atLeaving } = await callFor(harness, 1_500)
   assert.ok(answered > 20, `${answered} answered`)
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesPlatform.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesPlatform.test.ts
@@ -83,7 +83,7 @@
 
 for (const mode of LOST_WRITES) {
   test(`a write under the fault ${mode} returns unknown and is applied once`, () => withKeyValue({}, async (port, standIn) => {
-    standIn.fail({ mode, count: 1 })
+    standIn.injectFault({ mode, count: 1 })
     assert.is((await port.compareAndSwap(WRITE)).type, 'unknown')
     const read = await port.get(WRITE.key)
     assert.is(read.type === 'found' && read.entry.revision, 1)
@@ -92,13 +92,13 @@
 }
 
 test('a write that times out returns unknown, a read that times out returns unavailable', () => withKeyValue({}, async (port, standIn) => {
-  standIn.fail({ mode: 'slow', delayMs: 10 * TIMEOUT_MS })
+  standIn.injectFault({ mode: 'slow', delayMs: 10 * TIMEOUT_MS })
   assert.is((await port.compareAndSwap(WRITE)).type, 'unknown')
   assert.is((await port.get(WRITE.key)).type, 'unavailable')
 }, TIMEOUT_MS))
 
 test('every call returns unavailable during an outage, and none is executed', () => withKeyValue({}, async (port, standIn) => {
-  standIn.fail({ mode: 'outage' })
+  standIn.injectFault({ mode: 'outage' })
   const outcomes = await Promise.all([port.get('a'), port.list(''), port.watch('', 0, 1), port.compareAndSwap(WRITE), port.grantLease(1), port.renewLease('x')])
   assert.ok(outcomes.every((outcome) => outcome.type === 'unavailable'))
   standIn.reset()
@@ -121,7 +121,7 @@
 test('the instance list shows changes only after its lag and returns unavailable for an invalid response', () => withInstanceList({ instances: [INSTANCE], lagMs: 60_000 }, async (port, standIn) => {
   standIn.setInstances([])
   assert.equal(await port.list(), { type: 'listed', instances: [INSTANCE] })
-  standIn.fail({ mode: 'garbage', count: 1 })
+  standIn.injectFault({ mode: 'garbage', count: 1 })
   assert.is((await port.list()).type, 'unavailable')
 }))
 
@@ -129,7 +129,7 @@
   const instancesOf = async (): Promise<unknown> => { const outcome = await port.list(); return outcome.type === 'listed' && outcome.instances }
   const first = await instancesOf()
   assert.is(await instancesOf(), first, 'an unchanged list must be the same array')
-  standIn.fail({ mode: 'garbage', count: 1 })
+  standIn.injectFault({ mode: 'garbage', count: 1 })
   assert.is(await instancesOf(), false)
   assert.is(await instancesOf(), first)
   standIn.setInstances([])
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesReplicaNotices.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesReplicaNotices.test.ts
@@ -1,7 +1,7 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { callFor, inScene } from './EntryScene.js'
+import { callFor, withEntryHarness } from './EntryScene.js'
 
 /** Time after its announcement within which a replica that shuts down may still get new requests. */
 const DRAIN_MS = 2_000
@@ -17,20 +17,20 @@
 /** Maximum number of requests that may reach a replica during its backoff. */
 const MAX_REQUESTS_IN_BACKOFF = 2
 
-test('a replica that announces its shutdown only in response headers gets no requests after the drain time', () => inScene(async (harness) => {
+test('a replica that announces its shutdown only in response headers gets no requests after the drain time', () => withEntryHarness(async (harness) => {
   assert.ok((await callFor(harness, WARM_UP_MS)).atLeaving > 0, 'both replicas are used')
-  harness.leaves.sayLeaving()
+  harness.leavingReplica.advertiseLeaving()
   await callFor(harness, DRAIN_MS)
   const { answered, sent, atLeaving } = await callFor(harness, 1_500)
   assert.is(atLeaving, 0)
   assert.is(answered, sent)
 }))
 
-test('replicas that all refuse and request a backoff get at most two requests each during it', () => inScene(async (harness) => {
+test('replicas that all refuse and request a backoff get at most two requests each during it', () => withEntryHarness(async (harness) => {
   await callFor(harness, WARM_UP_MS)
-  const replicas = [harness.stays, harness.leaves]
+  const replicas = [harness.stayingReplica, harness.leavingReplica]
   const firstSeen = replicas.map((replica) => {
-    replica.askForBackoff(BACKOFF_S)
+    replica.requestBackoff(BACKOFF_S)
     return replica.seen.length
   })
   await callFor(harness, (BACKOFF_S - PROPAGATION_MS / 1_000) * 1_000)
@@ -43,11 +43,11 @@
   }
 }))
 
-test('a replica gets requests again after its backoff', () => inScene(async (harness) => {
+test('a replica gets requests again after its backoff', () => withEntryHarness(async (harness) => {
   await callFor(harness, WARM_UP_MS)
-  harness.leaves.askForBackoff(1)
+  harness.leavingReplica.requestBackoff(1)
   await callFor(harness, 300)
-  harness.leaves.askForBackoff(0)
+  harness.leavingReplica.requestBackoff(0)
   await sleep(1_000)
   assert.ok((await callFor(harness, WARM_UP_MS)).atLeaving > 0, 'the replica must get requests again')
 }))
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesRequestLimitNotices.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesRequestLimitNotices.test.ts
@@ -2,7 +2,7 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { callEntry, inCustomerScene } from './CustomerScene.js'
+import { callEntry, withCustomerHarness } from './CustomerScene.js'
 import type { CustomerEntry } from './CustomerScene.js'
 import { LIMIT_PER_S, runLimitScenario } from './LimitScene.js'
 
@@ -25,7 +25,7 @@
       const isKnownToAll = (): boolean => entries.every(({ entry }) => entry.state().limits.size === 1)
       for (let i = 0; i < 100 && !isKnownToAll(); i++) await sleep(20)
       assert.ok(isKnownToAll(), 'all entries must know the limit')
-      plain[0]?.nameLimit(undefined)
+      plain[0]?.advertiseLimit(undefined)
       await sleep(2_000)
       for (const { entry } of entries) stillBound.push(entry.state().limits.size)
     }
@@ -34,12 +34,12 @@
 })
 
 test('a restarted entry knows the limits before its first request', async () => {
-  await inCustomerScene(2, [], async (harness) => {
+  await withCustomerHarness(2, [], async (harness) => {
     await sleep(LEADER_READY_MS)
-    for (const replica of harness.plain) replica.nameLimit(LIMIT_PER_S)
+    for (const replica of harness.plain) replica.advertiseLimit(LIMIT_PER_S)
     for (let i = 0; i < 12; i++) await callEntry(harness.entries[0] as CustomerEntry, { path: '/open/1' })
     await sleep(1_000)
-    await harness.startAgain(1)
+    await harness.restartEntry(1)
     await sleep(500)
     const learnedLines = harness.entries[1]?.lines.filter((line) => line.includes('event=replica_limit_named') && line.includes('from=document')) ?? []
     assert.ok(learnedLines.length > 0)
@@ -53,7 +53,7 @@
       limited: 0,
       seconds: 3,
       concurrentTask: async ({ entries, plain }) => {
-        for (const replica of plain) replica.sayLimit(text)
+        for (const replica of plain) replica.setLimitHeader(text)
         await sleep(2_500)
         assert.ok(entries.some(({ lines }) => lines.some((line) => line.includes('event=replica_limit_unreadable'))), 'the invalid limit must be logged')
       }
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesRequestLimits.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesRequestLimits.test.ts
@@ -42,7 +42,7 @@
 const restartEntriesInTurn: LimitScenario['concurrentTask'] = async (harness, isOver) => {
   for (let index = 0; !isOver(); index = (index + 1) % harness.entries.length) {
     await sleep(1_000)
-    await harness.startAgain(index)
+    await harness.restartEntry(index)
   }
 }
 
@@ -56,9 +56,9 @@
 const isolateHalfFromStore: LimitScenario['concurrentTask'] = async ({ entries }) => {
   const isolatedEntries = entries.slice(0, 2)
   await sleep(2_000)
-  for (const { proxy } of isolatedEntries) proxy.harm('silent')
+  for (const { proxy } of isolatedEntries) proxy.injectFault('silent')
   await sleep(SECONDS * 1_000 - 3_000)
-  for (const { proxy } of isolatedEntries) proxy.harm(undefined)
+  for (const { proxy } of isolatedEntries) proxy.injectFault(undefined)
 }
 
 test('limits are kept and used while half of the entries are disconnected from the store', async () => {
--- a/packages/bendfall-fakes/src/__tests__/unit/CrashScene.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/CrashScene.ts
@@ -31,7 +31,7 @@
 }
 
 /** Several entries in front of plain replicas that restart under a new ID some time after they crash. */
-export interface CrashScene {
+export interface CrashHarness {
   readonly store: FleetStore
   readonly entries: readonly CrashEntry[]
   /** Monotonic times at which replicas crashed. */
@@ -52,7 +52,7 @@
 }
 
 /** Response that a caller received. */
-export interface CrashAnswer {
+export interface CrashResponse {
   /** HTTP status; 0 if the connection failed. */
   readonly status: number
   readonly retryAfterS?: number
@@ -62,7 +62,7 @@
 const READY_PORT = 17_382
 
 /** Runs a test with a harness, which is closed in any case. */
-export async function inCrashScene (entries: number, replicas: number, run: (harness: CrashScene) => Promise<void>): Promise<void> {
+export async function withCrashHarness (entries: number, replicas: number, run: (harness: CrashHarness) => Promise<void>): Promise<void> {
   const harness = await startCrashHarness(entries, replicas)
   try {
     await run(harness)
@@ -71,7 +71,7 @@
   }
 }
 
-async function startCrashHarness (entryCount: number, replicaCount: number): Promise<CrashScene> {
+async function startCrashHarness (entryCount: number, replicaCount: number): Promise<CrashHarness> {
   const store = await startFleetStore(ip(1))
   const crashes: number[] = []
   const all: FleetReplica[] = []
@@ -85,7 +85,7 @@
     const replica = await startFleetReplica({
       host: ip(20 + index),
       replicaId,
-      answerMs: RESPONSE_DELAY_MS,
+      responseDelayMs: RESPONSE_DELAY_MS,
       crashesOn: ({ path }) => path === POISON_PATH,
       onCrash: () => {
         crashes.push(performance.now())
@@ -154,11 +154,11 @@
 let nextCall = 1
 
 /** Sends a request to an entry. */
-export async function callCrashEntry ({ host }: Pick<CrashEntry, 'host'>, path: string): Promise<CrashAnswer> {
+export async function callCrashEntry ({ host }: Pick<CrashEntry, 'host'>, path: string): Promise<CrashResponse> {
   return await callEntry(host, CALLERS_PORT, path, `c${nextCall++}`)
 }
 
-function callEntry (host: string, port: number, path: string, id: string): Promise<CrashAnswer> {
+function callEntry (host: string, port: number, path: string, id: string): Promise<CrashResponse> {
   return new Promise((resolve) => {
     const request = httpRequest({ host, port, path, agent: false, headers: { host: HOST, 'x-request-id': id, 'x-deadline-ms': '1000' } }, (response) => {
       const retryAfter = response.headers['retry-after']
--- a/packages/bendfall-fakes/src/__tests__/unit/CustomerScene.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/CustomerScene.ts
@@ -46,7 +46,7 @@
 }
 
 /** Entries in front of two or more plain replicas, one prefill replica and two decode replicas. */
-export interface CustomerScene {
+export interface CustomerHarness {
   readonly store: FleetStore
   readonly replicas: readonly FleetReplica[]
   readonly plain: readonly FleetReplica[]
@@ -55,7 +55,7 @@
   /** Writes a version of the configuration to the store. */
   readonly configure: (version: number, tenants: readonly Tenant[]) => void
   /** Stops an entry gracefully and starts a new one in its place. */
-  readonly startAgain: (index: number) => Promise<void>
+  readonly restartEntry: (index: number) => Promise<void>
   readonly close: () => Promise<void>
 }
 
@@ -67,7 +67,7 @@
 }
 
 /** Response that a caller received. */
-export interface CustomerAnswer {
+export interface CustomerResponse {
   /** HTTP status; 0 if the connection failed. */
   readonly status: number
   readonly retryAfterS?: number
@@ -87,7 +87,7 @@
 ]
 
 /** Runs a test with a harness, which is closed in any case. */
-export async function inCustomerScene (entryCount: number, tenants: readonly Tenant[], run: (harness: CustomerScene) => Promise<void>, extraPlainReplicas = 0): Promise<void> {
+export async function withCustomerHarness (entryCount: number, tenants: readonly Tenant[], run: (harness: CustomerHarness) => Promise<void>, extraPlainReplicas = 0): Promise<void> {
   const harness = await startCustomerHarness(entryCount, tenants, extraPlainReplicas)
   try {
     await run(harness)
@@ -96,7 +96,7 @@
   }
 }
 
-async function startCustomerHarness (entryCount: number, tenants: readonly Tenant[], extraPlainReplicas: number): Promise<CustomerScene> {
+async function startCustomerHarness (entryCount: number, tenants: readonly Tenant[], extraPlainReplicas: number): Promise<CustomerHarness> {
   const store = await startFleetStore(ip(1))
   const plain = await Promise.all([100, 101].map((last) => startFleetReplica({ host: ip(last), replicaId: `i-${last}` })))
   const extraPlain = await Promise.all(Array.from({ length: extraPlainReplicas }, (_, index) => startFleetReplica({ host: ip(105 + index), replicaId: `i-${105 + index}` })))
@@ -132,7 +132,7 @@
     decoders,
     entries,
     configure,
-    startAgain: async (index) => {
+    restartEntry: async (index) => {
       await entries[index]?.stop()
       entries[index] = await startCustomerEntry(store, index)
     },
@@ -185,7 +185,7 @@
 }
 
 /** Sends a call to an entry. */
-export function callEntry ({ host }: CustomerEntry, call: CustomerCall): Promise<CustomerAnswer> {
+export function callEntry ({ host }: CustomerEntry, call: CustomerCall): Promise<CustomerResponse> {
   return sendCall(host, CALLERS_PORT, call)
 }
 
@@ -194,7 +194,7 @@
   return [['X-Api-Key', key]]
 }
 
-function sendCall (host: string, port: number, { headers = [], path }: CustomerCall): Promise<CustomerAnswer> {
+function sendCall (host: string, port: number, { headers = [], path }: CustomerCall): Promise<CustomerResponse> {
   const id = `c${nextId++}`
   SENT_AT_MS.set(id, performance.now())
   const isPrompt = path.startsWith('/s/')
--- a/packages/bendfall-fakes/src/__tests__/unit/EndsScene.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/EndsScene.ts
@@ -39,7 +39,7 @@
 }
 
 /** An entry process in front of a replica whose responses depend on the request path. */
-export interface EndsScene {
+export interface EndsHarness {
   readonly process: ListeningProcess
   /** Paths of the requests that reached the replica. */
   readonly reached: readonly string[]
@@ -68,7 +68,7 @@
 export type ConnectionEnd = 'fin' | 'rst'
 
 /** Response as a caller interprets it. */
-export interface ReadAnswer {
+export interface ParsedResponse {
   readonly status: number
   readonly body: string
   readonly framing: 'length' | 'chunked' | 'connection'
@@ -76,7 +76,7 @@
 }
 
 /** Runs a test with a harness, which is closed in any case. */
-export async function inEndsScene (options: { readonly stopGraceS?: number, readonly preload?: string }, run: (harness: EndsScene) => Promise<void>): Promise<void> {
+export async function withEndsHarness (options: { readonly stopGraceS?: number, readonly preload?: string }, run: (harness: EndsHarness) => Promise<void>): Promise<void> {
   const { preload, stopGraceS = 1.7 } = options
   const folder = mkdtempSync(join(tmpdir(), 'bendfall-ends-'))
   const store = await startFleetStore(ip(31))
@@ -90,7 +90,7 @@
   const env = { BENDFALL_BOOT: file, ...(preload === undefined ? {} : { NODE_OPTIONS: `--import=data:text/javascript,${encodeURIComponent(preload)}` }) }
   const process = await startProcess('entry-1', MAIN_MODULE, ['entry'], { env, readyEvent: 'started' })
   try {
-    await until(async () => await fetchReadyStatus() === 200)
+    await waitUntil(async () => await fetchReadyStatus() === 200)
     await run({
       process,
       reached,
@@ -111,7 +111,7 @@
 }
 
 /** Polls a condition until it holds, at most `MAX_WAIT_MS`. */
-export async function until (condition: () => boolean | Promise<boolean>): Promise<void> {
+export async function waitUntil (condition: () => boolean | Promise<boolean>): Promise<void> {
   const deadlineMs = performance.now() + MAX_WAIT_MS
   while (!await condition()) {
     if (performance.now() > deadlineMs) throw new Error(`condition did not hold within ${MAX_WAIT_MS} ms: ${condition.toString()}`)
@@ -120,8 +120,8 @@
 }
 
 /** Parses the consecutive responses on a connection, delimited as RFC 9112, section 6.3 defines. */
-export function readAnswers (text: string, end: ConnectionEnd): ReadAnswer[] {
-  const responses: ReadAnswer[] = []
+export function parseResponses (text: string, end: ConnectionEnd): ParsedResponse[] {
+  const responses: ParsedResponse[] = []
   let rest = text
   while (rest.length > 0) {
     const headEnd = rest.indexOf('\r\n\r\n')
--- a/packages/bendfall-fakes/src/__tests__/unit/EntryScene.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/EntryScene.ts
@@ -26,7 +26,7 @@
 }
 
 /** Address and port on which the entry accepts requests. */
-export const CALLERS = { host: ip(2), port: 17_381 }
+export const CALLERS_ENDPOINT = { host: ip(2), port: 17_381 }
 const READY_ENDPOINT = { host: ip(2), port: 17_382 }
 
 const CALL_INTERVAL_MS = 10
@@ -45,11 +45,11 @@
 }
 
 /** An entry in front of two plain replicas, which reaches its store through a proxy that can inject faults. */
-export interface Scene {
+export interface EntryHarness {
   readonly store: FleetStore
   readonly storeProxy: FleetProxy
-  readonly stays: FleetReplica
-  readonly leaves: FleetReplica
+  readonly stayingReplica: FleetReplica
+  readonly leavingReplica: FleetReplica
   readonly entry: Entry
   readonly close: () => Promise<void>
 }
@@ -59,7 +59,7 @@
   ({ service: 'app', address, zone: 'a', version: 'v1', slots: 6, state: 'ready', 'cold-remaining-ms': 0, seq: 1, ...change })
 
 /** Runs a test with a harness, which is closed in any case. */
-export async function inScene (run: (harness: Scene) => Promise<void>): Promise<void> {
+export async function withEntryHarness (run: (harness: EntryHarness) => Promise<void>): Promise<void> {
   const harness = await startEntryHarness()
   try {
     await run(harness)
@@ -68,17 +68,17 @@
   }
 }
 
-async function startEntryHarness (): Promise<Scene> {
+async function startEntryHarness (): Promise<EntryHarness> {
   const store = await startFleetStore(ip(1))
   const storeProxy = await startFleetProxy(store.address)
-  const stays = await startFleetReplica({ host: ip(11), replicaId: 'i-stays', answerMs: STAYING_RESPONSE_DELAY_MS })
-  const leaves = await startFleetReplica({ host: ip(12), replicaId: 'i-leaves' })
+  const stayingReplica = await startFleetReplica({ host: ip(11), replicaId: 'i-stays', responseDelayMs: STAYING_RESPONSE_DELAY_MS })
+  const leavingReplica = await startFleetReplica({ host: ip(12), replicaId: 'i-leaves' })
   store.put('op/config', CONFIG)
-  store.put('servers/i-stays', registrationOf(stays))
-  store.put('servers/i-leaves', registrationOf(leaves))
+  store.put('servers/i-stays', registrationOf(stayingReplica))
+  store.put('servers/i-leaves', registrationOf(leavingReplica))
   const keyValue = createPlatformKeyValue(storeProxy.address)
   const entry = await startEntry({
-    settings: { instanceId: 'entry-1', availabilityZone: 'a', ip: CALLERS.host, callersListen: `${CALLERS.host}:${CALLERS.port}`, readyListen: `${READY_ENDPOINT.host}:${READY_ENDPOINT.port}`, peerPorts: [17_380, 17_389], keyValueAddress: storeProxy.address, stopGraceS: 1 },
+    settings: { instanceId: 'entry-1', availabilityZone: 'a', ip: CALLERS_ENDPOINT.host, callersListen: `${CALLERS_ENDPOINT.host}:${CALLERS_ENDPOINT.port}`, readyListen: `${READY_ENDPOINT.host}:${READY_ENDPOINT.port}`, peerPorts: [17_380, 17_389], keyValueAddress: storeProxy.address, stopGraceS: 1 },
     dialect: PLATFORM_DIALECT,
     keyValue,
     logger: createLogger({ level: 'error', write: () => {} })
@@ -87,13 +87,13 @@
   return {
     store,
     storeProxy,
-    stays,
-    leaves,
+    stayingReplica,
+    leavingReplica,
     entry,
     close: async () => {
       await entry.stop()
       await keyValue.close()
-      for (const one of [stays, leaves, storeProxy, store]) await one.close()
+      for (const one of [stayingReplica, leavingReplica, storeProxy, store]) await one.close()
     }
   }
 }
@@ -113,18 +113,18 @@
 let nextId = 1
 
 /** Sends requests for some time; returns how many were sent, reached the leaving replica, and were answered with 200. */
-export async function callFor ({ leaves }: Scene, durationMs: number): Promise<{ readonly atLeaving: number, readonly answered: number, readonly sent: number }> {
-  const seenBefore = leaves.seen.length
+export async function callFor ({ leavingReplica }: EntryHarness, durationMs: number): Promise<{ readonly atLeaving: number, readonly answered: number, readonly sent: number }> {
+  const seenBefore = leavingReplica.seen.length
   const endsAtMs = performance.now() + durationMs
   let sent = 0
   const answered = await Promise.all(Array.from({ length: CONCURRENT_CALLERS }, async () => {
     let count = 0
     while (performance.now() < endsAtMs) {
       sent += 1
-      if (await call({ ...CALLERS, path: '/r/1', id: `r${nextId++}` }) === 200) count += 1
+      if (await call({ ...CALLERS_ENDPOINT, path: '/r/1', id: `r${nextId++}` }) === 200) count += 1
       await sleep(CALL_INTERVAL_MS)
     }
     return count
   }))
-  return { sent, atLeaving: leaves.seen.length - seenBefore, answered: answered.reduce((sum, count) => sum + count, 0) }
+  return { sent, atLeaving: leavingReplica.seen.length - seenBefore, answered: answered.reduce((sum, count) => sum + count, 0) }
 }
--- a/packages/bendfall-fakes/src/__tests__/unit/LimitScene.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/LimitScene.ts
@@ -1,8 +1,8 @@
 import { setTimeout as sleep } from 'node:timers/promises'
-import type { PassedAnswer, RateWindow } from '../../fleet/BendfallFakesRateJudge.js'
+import type { ForwardedResponse, RateWindow } from '../../fleet/BendfallFakesRateJudge.js'
 import { findWorstWindow } from '../../fleet/BendfallFakesRateJudge.js'
-import { callEntry, inCustomerScene } from './CustomerScene.js'
-import type { CustomerAnswer, CustomerEntry, CustomerScene } from './CustomerScene.js'
+import { callEntry, withCustomerHarness } from './CustomerScene.js'
+import type { CustomerResponse, CustomerEntry, CustomerHarness } from './CustomerScene.js'
 
 /** Requests per second that a limited replica accepts from all entries together. */
 export const LIMIT_PER_S = 5.1
@@ -27,11 +27,11 @@
   /** Returns the entry for a call; without it, the callers use the entries in turn. */
   readonly entryOf?: (callIndex: number) => number
   /** Task that runs concurrently with the callers; `isOver` becomes true once they stop. */
-  readonly concurrentTask?: (harness: CustomerScene, isOver: () => boolean) => Promise<void>
+  readonly concurrentTask?: (harness: CustomerHarness, isOver: () => boolean) => Promise<void>
 }
 
 /** Call of a scenario with its response. */
-export interface LimitCall extends CustomerAnswer {
+export interface LimitCall extends CustomerResponse {
   readonly entry: string
   readonly sentAtMs: number
 }
@@ -51,12 +51,12 @@
 /** Runs a scenario and compares the arrivals at the replicas with their limits. */
 export async function runLimitScenario (scenario: LimitScenario): Promise<LimitOutcome> {
   let outcome: LimitOutcome | undefined
-  await inCustomerScene(scenario.entries, [], async (harness) => { outcome = await runScenario(harness, scenario) }, 1)
+  await withCustomerHarness(scenario.entries, [], async (harness) => { outcome = await runScenario(harness, scenario) }, 1)
   if (outcome === undefined) throw new Error('the scenario has no outcome')
   return outcome
 }
 
-async function runScenario (harness: CustomerScene, { concurrentTask = async () => {}, callers = 18, entryOf, limited, pauseMs = CALL_INTERVAL_MS, seconds }: LimitScenario): Promise<LimitOutcome> {
+async function runScenario (harness: CustomerHarness, { concurrentTask = async () => {}, callers = 18, entryOf, limited, pauseMs = CALL_INTERVAL_MS, seconds }: LimitScenario): Promise<LimitOutcome> {
   await sleep(WARM_UP_MS)
   const calls: LimitCall[] = []
   const endsAtMs = performance.now() + seconds * 1_000
@@ -65,7 +65,7 @@
   let advertisedAtMs = Infinity
   const advertising = sleep(ADVERTISED_AFTER_MS).then(() => {
     advertisedAtMs = performance.now()
-    for (const replica of limitedReplicas) replica.nameLimit(LIMIT_PER_S)
+    for (const replica of limitedReplicas) replica.advertiseLimit(LIMIT_PER_S)
   })
   let nextCallIndex = 0
   const takeCallIndex = (): number => nextCallIndex++
@@ -77,7 +77,7 @@
     }
   })
   await Promise.all([advertising, concurrentTask(harness, isOver), ...calling])
-  const answers: PassedAnswer[] = calls.map((call) => ({ ...call, requestId: call.id }))
+  const answers: ForwardedResponse[] = calls.map((call) => ({ ...call, requestId: call.id }))
   const windows = limitedReplicas.map((replica) => findWorstWindow({ replica, replicaId: replicaIdOf(harness, replica), answers }))
   const worst = windows.sort((one, other) => (other?.over ?? 0) - (one?.over ?? 0))[0]
   const arrivals = limitedReplicas.reduce((sum, { seen }) => sum + seen.filter(({ atMs }) => atMs > advertisedAtMs && atMs < endsAtMs).length, 0)
@@ -90,6 +90,6 @@
   return { ...await callEntry(entry, { path: '/open/1' }), entry: entry.host, sentAtMs }
 }
 
-function replicaIdOf (harness: CustomerScene, replica: CustomerScene['plain'][number]): string {
+function replicaIdOf (harness: CustomerHarness, replica: CustomerHarness['plain'][number]): string {
   return `i-${100 + harness.replicas.indexOf(replica)}`
 }
--- a/packages/bendfall-fakes/src/__tests__/unit/RawReplicaScene.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/RawReplicaScene.ts
@@ -5,10 +5,10 @@
 import { createLogger } from 'bendfall-node'
 import { createPlatformKeyValue, PLATFORM_DIALECT } from 'bendfall-platform-adapter'
 import { startFleetStore } from '../../fleet/BendfallFakesFleetStore.js'
-import { call, CALLERS, ip } from './EntryScene.js'
+import { call, CALLERS_ENDPOINT, ip } from './EntryScene.js'
 
 const HOST = 'raw.example'
-const READY_ENDPOINT = { host: CALLERS.host, port: 17_382 }
+const READY_ENDPOINT = { host: CALLERS_ENDPOINT.host, port: 17_382 }
 
 const ROUTE = { host: HOST, 'timeout-ms': 2500, 'target-latency-ms': 500, priority: 1, service: 'app', 'max-attempts': 1 }
 
@@ -58,7 +58,7 @@
   store.put('servers/i-raw', { service: 'app', address, zone: 'a', version: 'v1', slots: 6, state: 'ready', 'cold-remaining-ms': 0, seq: 1 })
   const keyValue = createPlatformKeyValue(store.address)
   const entry = await startEntry({
-    settings: { instanceId: 'entry-1', availabilityZone: 'a', ip: CALLERS.host, callersListen: `${CALLERS.host}:${CALLERS.port}`, readyListen: `${READY_ENDPOINT.host}:${READY_ENDPOINT.port}`, peerPorts: [17_380, 17_389], keyValueAddress: store.address, stopGraceS: 1 },
+    settings: { instanceId: 'entry-1', availabilityZone: 'a', ip: CALLERS_ENDPOINT.host, callersListen: `${CALLERS_ENDPOINT.host}:${CALLERS_ENDPOINT.port}`, readyListen: `${READY_ENDPOINT.host}:${READY_ENDPOINT.port}`, peerPorts: [17_380, 17_389], keyValueAddress: store.address, stopGraceS: 1 },
     dialect: PLATFORM_DIALECT,
     keyValue,
     logger: createLogger({ level: 'error', write: () => {} })
@@ -77,7 +77,7 @@
 
 /** Sends a request over a new connection and reads until the connection ends, at most `waitMs`. */
 export async function sendRawRequest (path: string, requestId: string, waitMs = 1_000): Promise<RawResponse> {
-  const socket = connect(CALLERS.port, CALLERS.host)
+  const socket = connect(CALLERS_ENDPOINT.port, CALLERS_ENDPOINT.host)
   let text = ''
   socket.on('data', (bytes: Buffer) => { text += bytes.toString('latin1') })
   const end = new Promise<RawResponse['end']>((resolve) => {
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityConfig.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityConfig.ts
@@ -37,12 +37,12 @@
   return retainedBytes(() => JSON.parse(textOf({ assignments })))
 }
 
-function patchMadeUs (assignments: number): number {
+function patchCreateUs (assignments: number): number {
   const [base, current] = [1, 2].map((version) => createConfig(version, { ...FULL_CONFIG, assignments }))
   return timeUs(() => () => { for (let iteration = 0; iteration < ITERATIONS; iteration++) diffConfig(base, current) }) / ITERATIONS
 }
 
-function patchAppliedUs (assignments: number): number {
+function patchApplyUs (assignments: number): number {
   const base = createConfig(1, { ...FULL_CONFIG, assignments })
   const [instanceId] = Object.keys(base.assignments)
   const patch = JSON.stringify(diffConfig(base, { ...base, version: 2, assignments: { ...base.assignments, [instanceId]: 'another' } }))
@@ -56,8 +56,8 @@
   assignmentBytes: { name: 'configuration, JSON', unit: 'B', per: 'assignment', measure: () => pointsAt(ASSIGNMENT_COUNTS, (assignments) => textOf({ assignments }).length) },
   parseUs: { name: 'configuration, parsing and validation', unit: 'µs', per: 'byte', measure: parsePoints },
   keptBytes: { name: 'configuration in state', unit: 'B', per: 'assignment', measure: () => pointsAt(ASSIGNMENT_COUNTS, keptBytes) },
-  patchMadeUs: { name: 'merge patch, creation', unit: 'µs', per: 'assignment', measure: () => pointsAt(ASSIGNMENT_COUNTS, patchMadeUs) },
-  patchAppliedUs: { name: 'merge patch, parsing and application', unit: 'µs', per: 'assignment', measure: () => pointsAt(ASSIGNMENT_COUNTS, patchAppliedUs) }
+  patchCreateUs: { name: 'merge patch, creation', unit: 'µs', per: 'assignment', measure: () => pointsAt(ASSIGNMENT_COUNTS, patchCreateUs) },
+  patchApplyUs: { name: 'merge patch, parsing and application', unit: 'µs', per: 'assignment', measure: () => pointsAt(ASSIGNMENT_COUNTS, patchApplyUs) }
 } satisfies Readonly<Record<string, SlopeCase>>
 
 /** Sizes in bytes of the configuration at the target size, as JSON. */
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityEntry.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityEntry.ts
@@ -5,8 +5,8 @@
  * @module
  */
 import type { Effect, LanguageRequest } from 'bendfall-core'
-import { FULL_CONFIG, LOAD, createConfig, createInstances, drive, effectOf, flatText, modelName, numbers } from './BendfallFakesCapacityFleet.js'
-import type { Driven } from './BendfallFakesCapacityFleet.js'
+import { FULL_CONFIG, LOAD, createConfig, createInstances, createDrivenReducer, effectOf, flatText, modelName, numbers } from './BendfallFakesCapacityFleet.js'
+import type { DrivenReducer } from './BendfallFakesCapacityFleet.js'
 import { pointsAt, retainedBytes, timeUs } from './BendfallFakesCapacityMeter.js'
 import type { SlopeCase } from './BendfallFakesCapacityMeter.js'
 import { ASSUMED, DERIVED, SIZE } from './BendfallFakesCapacitySize.js'
@@ -50,8 +50,8 @@
   }
 }
 
-function createReadyEntry (fleet = FLEET): Driven {
-  const driven = drive('entry')
+function createReadyEntry (fleet = FLEET): DrivenReducer {
+  const driven = createDrivenReducer('entry')
   driven.send({ type: 'config_learned', atMs: 0, config: createConfig(1, FULL_CONFIG) })
   const instances = createInstances(fleet)
   driven.send({ type: 'instances_listed', atMs: 0, instances })
@@ -64,7 +64,7 @@
   readonly decodeId: string
 }
 
-function startDecode (driven: Driven, request: LanguageRequest, atMs = 1): Decoding {
+function startDecode (driven: DrivenReducer, request: LanguageRequest, atMs = 1): Decoding {
   const { requestId } = request
   const reserve = effectOf(driven.send({ type: 'language_request_arrived', atMs, request }), 'send_reserve')
   const granted = driven.send({ type: 'reserve_replied', atMs, requestId, attempt: 1, instanceId: reserve.instanceId, reply: GRANTED })
@@ -73,19 +73,19 @@
   return { requestId, decodeId: reserve.instanceId }
 }
 
-function awaitPrefillStart (driven: Driven, granted: readonly Effect[], atMs: number): readonly Effect[] {
+function awaitPrefillStart (driven: DrivenReducer, granted: readonly Effect[], atMs: number): readonly Effect[] {
   if (granted.some(({ type }) => type === 'send_prefill')) return granted
   const timer = granted.flatMap((effect) => effect.type === 'set_timer' && effect.timer.kind === 'prefill_start' ? [effect] : [])[0]
   return driven.send({ type: 'timer_fired', atMs: Math.max(atMs, timer.atMs), timer: timer.timer })
 }
 
-function runRequest (driven: Driven, request: LanguageRequest): void {
+function runRequest (driven: DrivenReducer, request: LanguageRequest): void {
   const { requestId, decodeId } = startDecode(driven, request)
   driven.send({ type: 'tokens_arrived', atMs: 2, requestId, attempt: 1, instanceId: decodeId, index: 0, tokens: ['token '] })
   driven.send({ type: 'decode_ended', atMs: 3, requestId, attempt: 1, instanceId: decodeId, end: { type: 'finished', tokenCount: 1, load: LOAD } })
 }
 
-function openRequests (driven: Driven, count: number, promptChars = SHORT_PROMPT): readonly Decoding[] {
+function openRequests (driven: DrivenReducer, count: number, promptChars = SHORT_PROMPT): readonly Decoding[] {
   return numbers(count).map((index) => startDecode(driven, languageRequest(index, { prompt: flatText(promptChars, index) })))
 }
 
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityEntryRows.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityEntryRows.ts
@@ -6,9 +6,9 @@
 import type { Facts } from './BendfallFakesCapacityFacts.js'
 import { exactly, plus, times } from './BendfallFakesCapacityFit.js'
 import type { Estimate } from './BendfallFakesCapacityFit.js'
-import { rowMaker } from './BendfallFakesCapacityRow.js'
-import type { Row, RowMaker } from './BendfallFakesCapacityRow.js'
-import { ASSUMED, DERIVED, OPEN_PER_NODE, SIZE, TREE, placesInUse } from './BendfallFakesCapacitySize.js'
+import { createRowFactory } from './BendfallFakesCapacityRow.js'
+import type { Row, RowFactory } from './BendfallFakesCapacityRow.js'
+import { ASSUMED, DERIVED, OPEN_PER_NODE, SIZE, TREE, expectedOccupiedBins } from './BendfallFakesCapacitySize.js'
 
 const MS_PER_SECOND = 1000
 const US_PER_SECOND = 1e6
@@ -22,8 +22,8 @@
 /** Number of leases in the renewal that was measured on the wire. */
 const LEASES_MEASURED = 2
 
-const control = rowMaker('entry', 'control')
-const data = rowMaker('entry', 'data')
+const control = createRowFactory('entry', 'control')
+const data = createRowFactory('entry', 'data')
 
 /** Renewals per second by request id at one entry; each contains one lease. */
 export const RENEWALS_PER_SECOND = DERIVED.requestsPerNode * ASSUMED.renewedShare
@@ -37,7 +37,7 @@
  * @returns heartbeats per second
  */
 export function heartbeatsPerSecond ({ constants }: Facts): number {
-  const used = placesInUse(OPEN_PER_NODE, SIZE.models * constants.subsetSize)
+  const used = expectedOccupiedBins(OPEN_PER_NODE, SIZE.models * constants.subsetSize)
   return used * MS_PER_SECOND / constants.renewalMs
 }
 
@@ -80,7 +80,7 @@
  * @param createRow - creates rows of the role of the process
  * @returns the rows for traffic
  */
-export function treeTraffic ({ loopback, members, configBytes }: Facts, createRow: RowMaker): readonly Row[] {
+export function treeTraffic ({ loopback, members, configBytes }: Facts, createRow: RowFactory): readonly Row[] {
   const patch = plus(loopback.pollBytes.slope, exactly(configBytes.assignmentPatch))
   return [
     createRow('traffic', 'FetchConfig, idle polls to the parent and of 8 children', times(loopback.pollBytes.slope, TREE.neighbours / TREE.pullSeconds)),
@@ -99,16 +99,16 @@
  * @param changeUs - CPU time of an `instances_changed` event with one change, in microseconds
  * @returns the rows for CPU time
  */
-export function treeCpu ({ loopback, members, config }: Facts, createRow: RowMaker, learnUs: Estimate, changeUs: Estimate): readonly Row[] {
+export function treeCpu ({ loopback, members, config }: Facts, createRow: RowFactory, learnUs: Estimate, changeUs: Estimate): readonly Row[] {
   const assignments = SIZE.replicas * ASSUMED.assignedShare
-  const read = plus(config.patchAppliedUs.at(assignments), learnUs)
+  const read = plus(config.patchApplyUs.at(assignments), learnUs)
   return [
     createRow('cpu', 'FetchConfig, idle polls, transport', cores(loopback.pollUs.slope, TREE.neighbours / TREE.pullSeconds)),
     createRow('cpu', 'search for watcher and parent, at each change of the list', cores(members.parentsUs.at(DERIVED.instances), 2 * DERIVED.instanceChangesPerSecond)),
     createRow('cpu', 'FetchConfig, changes of the instance list, transport', cores(loopback.pollUs.slope, DERIVED.instanceChangesPerSecond * TREE.neighbours)),
     createRow('cpu', 'changes of the instance list, reducer', cores(changeUs, DERIVED.instanceChangesPerSecond)),
     createRow('cpu', 'FetchConfig, merge patches, transport', cores(loopback.pollUs.slope, DERIVED.changesPerSecond * TREE.neighbours)),
-    createRow('cpu', 'merge patch, creation once for 8 children', cores(config.patchMadeUs.at(assignments), DERIVED.changesPerSecond)),
+    createRow('cpu', 'merge patch, creation once for 8 children', cores(config.patchCreateUs.at(assignments), DERIVED.changesPerSecond)),
     createRow('cpu', 'merge patch, parsing and application', cores(read, DERIVED.changesPerSecond))
   ]
 }
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityFacts.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityFacts.ts
@@ -46,7 +46,7 @@
 }
 
 /** Facts, and the measurements that they come from. */
-export interface Measured {
+export interface MeasuredFacts {
   readonly facts: Facts
   readonly slopes: readonly MeasuredSlope[]
 }
@@ -57,7 +57,7 @@
  * @param baseBytes - resident memory before the first measurement
  * @returns the facts and the measurements behind them
  */
-export async function measureFacts (baseBytes: number): Promise<Measured> {
+export async function measureFacts (baseBytes: number): Promise<MeasuredFacts> {
   const slopes: MeasuredSlope[] = []
   const fitAndRecord = (measured: MeasuredPoints): Line => {
     const line = fitLine(measured.points)
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityFleet.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityFleet.ts
@@ -48,7 +48,7 @@
 export const PREFILL_LOAD: LoadView = { ...LOAD, freeKvBytes: 0, totalKvBytes: 0, stepMs: 0, readyInMs: 0 }
 
 /** The reducer of a process with its state, without runtime or network. */
-export interface Driven {
+export interface DrivenReducer {
   readonly getState: () => State
   readonly send: (event: Event) => readonly Effect[]
 }
@@ -123,7 +123,7 @@
  * @param pool - pool of a sidecar; empty for an entry
  * @returns the reducer and its state
  */
-export function drive (role: 'entry' | 'sidecar', pool = ''): Driven {
+export function createDrivenReducer (role: 'entry' | 'sidecar', pool = ''): DrivenReducer {
   const reduce = createBendfallReducer()
   let state = createInitialState({ instanceId: SELF_ID, incarnation: randomUUID(), availabilityZone: zoneName(0), role, pool }, 7)
   return {
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityLoopback.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityLoopback.ts
@@ -15,7 +15,7 @@
 import type { Point } from './BendfallFakesCapacityFit.js'
 import { usedBytes } from './BendfallFakesCapacityMeter.js'
 import type { MeasuredPoints } from './BendfallFakesCapacityMeter.js'
-import type { PeerAddresses, PeerAsk, PeerUsage } from './BendfallFakesCapacityPeer.js'
+import type { PeerAddresses, PeerRequest, PeerUsage } from './BendfallFakesCapacityPeer.js'
 import { ASSUMED, DERIVED } from './BendfallFakesCapacitySize.js'
 import { createStub } from './BendfallFakesCapacityStub.js'
 import type { Stub } from './BendfallFakesCapacityStub.js'
@@ -99,7 +99,7 @@
   }
 }
 
-async function sendRequest<Reply> (peer: ChildProcess, request: PeerAsk): Promise<Reply> {
+async function sendRequest<Reply> (peer: ChildProcess, request: PeerRequest): Promise<Reply> {
   peer.send(request)
   const [response] = await once(peer, 'message')
   return response as Reply
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityMembers.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityMembers.ts
@@ -7,8 +7,8 @@
 import { gzipSync } from 'node:zlib'
 import { configParents } from 'bendfall-core'
 import type { InstanceRecord } from 'bendfall-core'
-import { FULL_CONFIG, LOAD, createConfig, createInstances, drive, numbers, poolName } from './BendfallFakesCapacityFleet.js'
-import type { Driven } from './BendfallFakesCapacityFleet.js'
+import { FULL_CONFIG, LOAD, createConfig, createInstances, createDrivenReducer, numbers, poolName } from './BendfallFakesCapacityFleet.js'
+import type { DrivenReducer } from './BendfallFakesCapacityFleet.js'
 import { pointsAt, retainedBytes, timeUs } from './BendfallFakesCapacityMeter.js'
 import type { SlopeCase } from './BendfallFakesCapacityMeter.js'
 import { languageRequest } from './BendfallFakesCapacityEntry.js'
@@ -22,8 +22,8 @@
 
 type Role = 'entry' | 'sidecar'
 
-function createLearnedReducer (role: Role, instances: readonly InstanceRecord[]): Driven {
-  const driven = drive(role, DECODE_POOL)
+function createLearnedReducer (role: Role, instances: readonly InstanceRecord[]): DrivenReducer {
+  const driven = createDrivenReducer(role, DECODE_POOL)
   driven.send({ type: 'config_learned', atMs: 0, config: createConfig(1, FULL_CONFIG) })
   driven.send({ type: 'instances_listed', atMs: 0, instances })
   return driven
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityPeer.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityPeer.ts
@@ -16,7 +16,7 @@
 const STEP_MS = 1
 
 /** Requests of the measuring process, sent over the IPC channel. */
-export type PeerAsk =
+export type PeerRequest =
   | { readonly type: 'listen', readonly count: number }
   | { readonly type: 'usage' }
 
@@ -95,7 +95,7 @@
   return { cpuUs: user + system, usedBytes: usedBytes(), relayedBytes }
 }
 
-process.on('message', (request: PeerAsk) => {
+process.on('message', (request: PeerRequest) => {
   if (request.type === 'usage') process.send?.(readUsage())
   else listen(request.count).then((addresses) => process.send?.(addresses))
 })
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityRow.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityRow.ts
@@ -97,7 +97,7 @@
 }
 
 /** Creates a row of one role and path from resource, mechanism and cost. */
-export type RowMaker = (resource: Resource, mechanism: string, estimate: Estimate | number) => Row
+export type RowFactory = (resource: Resource, mechanism: string, estimate: Estimate | number) => Row
 
 /**
  * Creates a factory for rows of one role and path.
@@ -106,7 +106,7 @@
  * @param path - `control`, or `data` for the path of requests
  * @returns the factory
  */
-export function rowMaker (role: CapacityRole, path: CapacityPath): RowMaker {
+export function createRowFactory (role: CapacityRole, path: CapacityPath): RowFactory {
   return (resource, mechanism, estimate) => ({
     role,
     path,
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityServiceRows.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityServiceRows.ts
@@ -9,7 +9,7 @@
 import { cores } from './BendfallFakesCapacityEntryRows.js'
 import type { Facts } from './BendfallFakesCapacityFacts.js'
 import { times } from './BendfallFakesCapacityFit.js'
-import { rowMaker } from './BendfallFakesCapacityRow.js'
+import { createRowFactory } from './BendfallFakesCapacityRow.js'
 import type { Row } from './BendfallFakesCapacityRow.js'
 import { DERIVED, SIZE } from './BendfallFakesCapacitySize.js'
 
@@ -31,9 +31,9 @@
 /** Time within which the calls that a fault causes must be completed. */
 const FAULT_SECONDS = 10
 
-const service = rowMaker('key-value service', 'control')
+const service = createRowFactory('key-value service', 'control')
 const fault: typeof service = (...parts) => ({ ...service(...parts), isFault: true })
-const watcher = rowMaker('watcher', 'control')
+const watcher = createRowFactory('watcher', 'control')
 
 /**
  * Estimates the rate of calls at the key-value service.
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacitySidecar.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacitySidecar.ts
@@ -5,8 +5,8 @@
  * @module
  */
 import type { KeyClaimAsk } from 'bendfall-core'
-import { FULL_CONFIG, createConfig, drive, effectOf, modelName, numbers, poolName } from './BendfallFakesCapacityFleet.js'
-import type { Driven } from './BendfallFakesCapacityFleet.js'
+import { FULL_CONFIG, createConfig, createDrivenReducer, effectOf, modelName, numbers, poolName } from './BendfallFakesCapacityFleet.js'
+import type { DrivenReducer } from './BendfallFakesCapacityFleet.js'
 import { pointsAt, retainedBytes, timeUs } from './BendfallFakesCapacityMeter.js'
 import type { SlopeCase } from './BendfallFakesCapacityMeter.js'
 import { ASSUMED, DERIVED } from './BendfallFakesCapacitySize.js'
@@ -28,8 +28,8 @@
 const MODEL = modelName(0)
 const ENTRY_ID = 'i-entry'
 
-function createReadySidecar (): Driven {
-  const driven = drive('sidecar', POOL)
+function createReadySidecar (): DrivenReducer {
+  const driven = createDrivenReducer('sidecar', POOL)
   driven.send({ type: 'config_learned', atMs: 0, config: createConfig(1, FULL_CONFIG) })
   driven.send({ type: 'engine_order_ended', atMs: 0, fencingToken: 1, result: { type: 'done' } })
   driven.send({ type: 'engine_reported', atMs: 0, report: { usedKvBytes: 0, totalKvBytes: TOTAL_KV_BYTES, stepMs: 30, prefillTokensPerSecond: 10_000 } })
@@ -40,7 +40,7 @@
   return `00000000-0000-4000-8000-${index.toString(16).padStart(12, '0')}`
 }
 
-function startDecode (driven: Driven, requestId: string): void {
+function startDecode (driven: DrivenReducer, requestId: string): void {
   const shared = { requestId, attempt: 1, entryId: ENTRY_ID, model: MODEL, trafficClass: 'interactive', maxOutputTokens: 1_000 } as const
   const { reply } = effectOf(driven.send({ type: 'reserve_asked', atMs: 1, ask: { ...shared, entryIncarnation: ENTRY_ID, clientId: 'client-1', kvBytes: KV_BYTES, neededInMs: 100, maxReadyInMs: 1_000 } }), 'reply_reserve')
   if (reply.type !== 'granted') throw new Error(`unexpected reply to a reservation: ${reply.type}`)
@@ -48,13 +48,13 @@
   driven.send({ type: 'engine_import_ended', atMs: 1, requestId, attempt: 1, result: { type: 'done' } })
 }
 
-function runRequest (driven: Driven, requestId: string): void {
+function runRequest (driven: DrivenReducer, requestId: string): void {
   startDecode(driven, requestId)
   driven.send({ type: 'engine_tokens', atMs: 2, requestId, attempt: 1, index: 0, tokens: ['token '] })
   driven.send({ type: 'engine_decode_ended', atMs: 3, requestId, attempt: 1, result: { type: 'finished', tokenCount: 1 } })
 }
 
-function openRequests (driven: Driven, count: number): readonly string[] {
+function openRequests (driven: DrivenReducer, count: number): readonly string[] {
   const requestIds = numbers(count).map(idOf)
   for (const requestId of requestIds) startDecode(driven, requestId)
   return requestIds
@@ -106,7 +106,7 @@
   })
 }
 
-function createHome (): Driven {
+function createHome (): DrivenReducer {
   const driven = createReadySidecar()
   const slots = numbers(SLOTS).map((slot) => ({ slot, epoch: 3, sinceWallMs: 0 }))
   driven.send({ type: 'home_lease_changed', atMs: 1, pool: POOL, slots, holders: [], validUntilMs: FAR_FUTURE_MS, wallMs: 1 })
@@ -117,7 +117,7 @@
   return { requestId: idOf(index), entryId: ENTRY_ID, pool: POOL, idempotencyKey: `018f0000-${idOf(index)}`, keyIssuedAtMs: 1, bodyDigest: `digest-${index}`.padEnd(43, 'x'), maxWaitMs: 10_000 }
 }
 
-function claimAndSettleKeys (driven: Driven, count: number, responseBytes: number): void {
+function claimAndSettleKeys (driven: DrivenReducer, count: number, responseBytes: number): void {
   for (let index = 0; index < count; index++) {
     const ask = createClaim(index)
     driven.send({ type: 'key_claim_asked', atMs: 2, ask })
@@ -153,6 +153,6 @@
 /** Measurements of the idempotency keys that a home stores. */
 export const HOME_SLOPES = {
   keyBytes: { name: 'settled key at its home, without response', unit: 'B', per: 'key', measure: () => pointsAt(KEY_COUNTS, (count) => keyBytes(count, 0)) },
-  answerBytes: { name: 'response stored with a key', unit: 'B', per: 'byte', measure: () => pointsAt(RESPONSE_BYTES, (bytes) => keyBytes(KEYS_WITH_RESPONSES, bytes) / KEYS_WITH_RESPONSES) },
+  responseBytes: { name: 'response stored with a key', unit: 'B', per: 'byte', measure: () => pointsAt(RESPONSE_BYTES, (bytes) => keyBytes(KEYS_WITH_RESPONSES, bytes) / KEYS_WITH_RESPONSES) },
   keyUs: { name: 'claim and settlement of a key at its home', unit: 'µs', per: 'key', measure: () => pointsAt(KEY_COUNTS, keysUs) }
 } satisfies Readonly<Record<string, SlopeCase>>
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacitySidecarRows.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacitySidecarRows.ts
@@ -7,7 +7,7 @@
 import type { Facts } from './BendfallFakesCapacityFacts.js'
 import { exactly, plus, times } from './BendfallFakesCapacityFit.js'
 import type { Estimate } from './BendfallFakesCapacityFit.js'
-import { rowMaker } from './BendfallFakesCapacityRow.js'
+import { createRowFactory } from './BendfallFakesCapacityRow.js'
 import type { Row } from './BendfallFakesCapacityRow.js'
 import { ASSUMED, DERIVED, OPEN_PER_DECODE, SIZE } from './BendfallFakesCapacitySize.js'
 
@@ -17,10 +17,10 @@
 const KEY_RETENTION_SECONDS = 604
 const MAX_CONFIGS = 8
 
-const control = rowMaker('sidecar', 'control')
-const data = rowMaker('sidecar', 'data')
-const homeControl = rowMaker('home holder', 'control')
-const homeData = rowMaker('home holder', 'data')
+const control = createRowFactory('sidecar', 'control')
+const data = createRowFactory('sidecar', 'data')
+const homeControl = createRowFactory('home holder', 'control')
+const homeData = createRowFactory('home holder', 'data')
 
 /**
  * Estimates all costs of a decode sidecar.
@@ -107,7 +107,7 @@
  */
 export function bytesPerKey ({ home }: Facts): Estimate {
   const responseBytes = DERIVED.tokensPerRequest * ASSUMED.bytesPerOutputToken
-  return plus(home.keyBytes.slope, times(home.answerBytes.slope, responseBytes))
+  return plus(home.keyBytes.slope, times(home.responseBytes.slope, responseBytes))
 }
 
 /**
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacitySize.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacitySize.ts
@@ -75,7 +75,7 @@
  * @param bins - number of bins
  * @returns expected number of bins with at least one item
  */
-export function placesInUse (items: number, bins: number): number {
+export function expectedOccupiedBins (items: number, bins: number): number {
   return bins * (1 - Math.exp(-items / bins))
 }
 
--- a/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityTable.ts
+++ b/packages/bendfall-fakes/src/capacity/BendfallFakesCapacityTable.ts
@@ -47,7 +47,7 @@
  * @param rows - costs or totals
  * @returns a Markdown table
  */
-export function formatProduct (rows: readonly Row[]): string {
+export function formatCosts (rows: readonly Row[]): string {
   return formatTable(['role', 'path', 'mechanism', 'at target size', 'error', 'limit', 'verdict'], rows.map(productCells))
 }
 
--- a/packages/bendfall-fakes/src/fleet/BendfallFakesFleetReplica.ts
+++ b/packages/bendfall-fakes/src/fleet/BendfallFakesFleetReplica.ts
@@ -19,7 +19,7 @@
   readonly events?: number
   readonly eventMs?: number
   /** Delay of the response to a call without a prompt. */
-  readonly answerMs?: number
+  readonly responseDelayMs?: number
   /** Returns whether a request crashes the process shortly after it started to run, without a response. */
   readonly crashesOn?: (request: SeenRequest) => boolean
   /** Called after the simulated process has crashed. */
@@ -72,9 +72,9 @@
   /** Monotonic times of the routers' control calls other than report polls. */
   readonly controlCallsAtMs: readonly number[]
   /** Advertises this limit, in requests per second, in each further response; undefined lifts it. */
-  readonly nameLimit: (perS: number | undefined) => void
+  readonly advertiseLimit: (perS: number | undefined) => void
   /** Sets the raw value of the limit header of each further response; undefined removes the header. */
-  readonly sayLimit: (text: string | undefined) => void
+  readonly setLimitHeader: (text: string | undefined) => void
   /** All orders, including those rejected because their fencing token is lower than one received before. */
   readonly orders: readonly SeenOrder[]
   readonly seen: readonly SeenRequest[]
@@ -84,13 +84,13 @@
    * Sends each further response other than a stream a second time: when the next request arrives on
    * the connection, before its response.
    */
-  readonly answerTwice: () => void
+  readonly duplicateResponses: () => void
   /** Reports in each further response that the replica is leaving. */
-  readonly sayLeaving: () => void
+  readonly advertiseLeaving: () => void
   /** Refuses all requests as not run, with a backoff of this many seconds in `Retry-After`; 0 ends it. */
-  readonly askForBackoff: (seconds: number) => void
+  readonly requestBackoff: (seconds: number) => void
   /** Discards pending faults, duplicated responses, the backoff and the advertised limit. */
-  readonly heal: () => void
+  readonly clearFaults: () => void
   readonly stage: () => string | undefined
   /** Start time of the simulated process, Unix milliseconds. */
   readonly startedAtMs: () => number
@@ -120,7 +120,7 @@
  * @returns the replica once it listens
  */
 export async function startFleetReplica (options: FleetReplicaOptions): Promise<FleetReplica> {
-  const { answerMs = 0, crashesOn = () => false, eventMs = 5, events = 6, restartsAfterCrash = false, memoryTokens = 20_000, onCrash = () => {}, replicaId } = options
+  const { responseDelayMs = 0, crashesOn = () => false, eventMs = 5, events = 6, restartsAfterCrash = false, memoryTokens = 20_000, onCrash = () => {}, replicaId } = options
   const seen: SeenRequest[] = []
   const orders: SeenOrder[] = []
   const runs = new Map<string, Run>()
@@ -140,7 +140,7 @@
 
   const usedTokens = (): number => [...runs.values()].reduce((sum, run) => sum + run.tokens, 0)
 
-  function nameLimit (perS: number | undefined): void {
+  function advertiseLimit (perS: number | undefined): void {
     limitText = perS === undefined ? undefined : String(perS)
     const last = limits.at(-1)
     if (last !== undefined) last.untilMs ??= performance.now()
@@ -226,7 +226,7 @@
       'content-type': stage === undefined ? 'text/plain' : 'text/event-stream'
     }
     if (stage === undefined) {
-      setTimeout(() => sendResponse(request, response, 200, `answer to ${seenRequest.requestId}`, headers), answerMs)
+      setTimeout(() => sendResponse(request, response, 200, `answer to ${seenRequest.requestId}`, headers), responseDelayMs)
       return
     }
     response.writeHead(200, headers)
@@ -266,7 +266,7 @@
     stage = options.stage
     isLeaving = false
     backoffS = 0
-    nameLimit(undefined)
+    advertiseLimit(undefined)
     faults.length = 0
     handles.clear()
     server.resetAll()
@@ -307,22 +307,22 @@
     orders,
     limits,
     controlCallsAtMs,
-    nameLimit,
-    sayLimit: (text) => { limitText = text },
+    advertiseLimit,
+    setLimitHeader: (text) => { limitText = text },
     stage: () => stage,
     startedAtMs: () => startedAtMs,
     restart,
     crash,
     running: () => runs.size,
     failNext: (fault) => { faults.push(fault) },
-    sayLeaving: () => { isLeaving = true },
-    askForBackoff: (seconds) => { backoffS = seconds },
-    answerTwice: () => { isDuplicating = true },
-    heal: () => {
+    advertiseLeaving: () => { isLeaving = true },
+    requestBackoff: (seconds) => { backoffS = seconds },
+    duplicateResponses: () => { isDuplicating = true },
+    clearFaults: () => {
       faults.length = 0
       isDuplicating = false
       backoffS = 0
-      nameLimit(undefined)
+      advertiseLimit(undefined)
     }
   }
 }
--- a/packages/bendfall-fakes/src/fleet/BendfallFakesFleetStore.ts
+++ b/packages/bendfall-fakes/src/fleet/BendfallFakesFleetStore.ts
@@ -40,7 +40,7 @@
    * Simulates an outage followed by a restore from a backup, which begins the next era: writes and leases
    * made after the backup are lost, and their revisions and lease numbers are reused.
    */
-  readonly restore: (drill: { readonly copyAgeMs: number, readonly awayMs: number }) => Promise<void>
+  readonly restore: (drill: { readonly backupAgeMs: number, readonly outageMs: number }) => Promise<void>
   /** @returns the era that responses carry */
   readonly era: () => number
   /** @returns the number of calls received so far */
@@ -91,11 +91,11 @@
     return older.at(-1) ?? backups[0] ?? { atMs, items: new Map(), leases: new Map(), revision: 1, nextLease: 1 }
   }
 
-  async function restore ({ awayMs, copyAgeMs }: { readonly awayMs: number, readonly copyAgeMs: number }): Promise<void> {
-    const backup = findBackupBefore(performance.now() - copyAgeMs)
+  async function restore ({ outageMs, backupAgeMs }: { readonly outageMs: number, readonly backupAgeMs: number }): Promise<void> {
+    const backup = findBackupBefore(performance.now() - backupAgeMs)
     isUnavailable = true
     server.resetAll()
-    await sleep(awayMs)
+    await sleep(outageMs)
     for (const { timer } of leases.values()) clearTimeout(timer)
     leases.clear()
     items.clear()
--- a/packages/bendfall-fakes/src/fleet/BendfallFakesRateJudge.ts
+++ b/packages/bendfall-fakes/src/fleet/BendfallFakesRateJudge.ts
@@ -7,7 +7,7 @@
 import type { AdvertisedLimit, FleetReplica } from './BendfallFakesFleetReplica.js'
 
 /** A response that an entry forwarded to a caller; times are monotonic. */
-export interface PassedAnswer {
+export interface ForwardedResponse {
   readonly requestId: string
   readonly entry: string
   /** When the caller received the response head. */
@@ -20,7 +20,7 @@
 export interface RateEvidence {
   readonly replica: Pick<FleetReplica, 'limits' | 'seen'>
   readonly replicaId: string
-  readonly answers: readonly PassedAnswer[]
+  readonly answers: readonly ForwardedResponse[]
   /** Returns whether an arrival counts; arrivals for which it returns false are ignored. */
   readonly isCounted?: (atMs: number, entry: string) => boolean
 }
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersEncode.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersEncode.ts
@@ -3,11 +3,11 @@
  *
  * @module
  */
-import type { AnswerScript, AskedFor } from './BendfallFakesAnswersScript.js'
+import type { AnswerScript, RequestPurpose } from './BendfallFakesAnswersScript.js'
 
 /** Request-dependent content of a response. */
 export interface ResponseContext {
-  readonly asked: AskedFor
+  readonly asked: RequestPurpose
   /** Id that the request carried. */
   readonly requestId?: string
   readonly replicaId: string
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersFuzz.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersFuzz.ts
@@ -67,7 +67,7 @@
  * @param seed - non-negative integer
  * @returns the parameters
  */
-export function planOf (seed: number): FuzzPlan {
+export function createFuzzPlan (seed: number): FuzzPlan {
   const profiles = ANSWER_PROFILES.length
   const round = Math.floor(seed / profiles)
   return {
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersFuzzMain.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersFuzzMain.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { fuzzAnswers, planOf } from './BendfallFakesAnswersFuzz.js'
+import { createFuzzPlan, fuzzAnswers } from './BendfallFakesAnswersFuzz.js'
 
 const [first = 0, count = 9] = process.argv.slice(2).map(Number)
 const isVerbose = process.argv.includes('--verbose')
@@ -11,7 +11,7 @@
 
 let failed = 0
 for (let seed = first; seed < first + count; seed++) {
-  const { calls, ends, evidence, plan, violations } = await fuzzAnswers(planOf(seed))
+  const { calls, ends, evidence, plan, violations } = await fuzzAnswers(createFuzzPlan(seed))
   console.log(`seed ${seed} ${plan.profile} busy ${plan.busyMs} ${plan.isInWorker ? 'apart' : 'together'}: ${calls} calls, ${violations.length} violations, ${JSON.stringify(ends)}`)
   for (const { detail, requestId, type } of violations) console.log(`  ${type} ${requestId}: ${detail.slice(0, SHOWN_CHARACTERS)}`)
   if (isVerbose) for (const line of evidence) console.log(`    ${line}`)
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersPlay.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersPlay.ts
@@ -6,7 +6,7 @@
 import type { Socket } from 'node:net'
 import { setImmediate as nextTurn, setTimeout as sleep } from 'node:timers/promises'
 import type { EncodedResponse } from './BendfallFakesAnswersEncode.js'
-import type { AnswerScript, ScriptCut, ScriptDouble } from './BendfallFakesAnswersScript.js'
+import type { AnswerScript, ScriptCut, ScriptDuplicate } from './BendfallFakesAnswersScript.js'
 import { isCloseDelimited } from './BendfallFakesAnswersScript.js'
 
 /** Longer responses are not written byte by byte. */
@@ -54,7 +54,7 @@
  * @param response - response to duplicate
  * @returns the bytes
  */
-export function encodeDuplicate ({ part, share }: ScriptDouble, response: EncodedResponse): Buffer {
+export function encodeDuplicate ({ part, share }: ScriptDuplicate, response: EncodedResponse): Buffer {
   if (part === 'whole') return Buffer.concat([response.head, response.framed])
   if (part === 'line_cut') return response.head.subarray(0, STATUS_BYTES)
   if (part === 'head_cut') return response.head.subarray(0, Math.ceil(share * response.head.length))
@@ -79,7 +79,7 @@
 }
 
 // A close-delimited response can't be followed by a duplicate, whose bytes would be part of the body.
-function hasAppendedDuplicate (script: AnswerScript): script is AnswerScript & { readonly double: ScriptDouble } {
+function hasAppendedDuplicate (script: AnswerScript): script is AnswerScript & { readonly double: ScriptDuplicate } {
   return script.double?.when === 'same_segment' && script.cut === undefined && !isCloseDelimited(script.framing)
 }
 
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersProfiles.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersProfiles.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import type { Random } from './BendfallFakesAnswersRandom.js'
-import type { AnswerScript, AskedFor, ScriptCut, ScriptDouble } from './BendfallFakesAnswersScript.js'
+import type { AnswerScript, RequestPurpose, ScriptCut, ScriptDuplicate } from './BendfallFakesAnswersScript.js'
 import { DEFAULT_SCRIPT, isCloseDelimited } from './BendfallFakesAnswersScript.js'
 
 /** Kinds of faults that a seed can favor. */
@@ -88,7 +88,7 @@
  * @param asked - operation that the request asks for
  * @returns the script
  */
-export function drawScript (random: Random, profile: AnswerProfile, asked: AskedFor): AnswerScript {
+export function drawScript (random: Random, profile: AnswerProfile, asked: RequestPurpose): AnswerScript {
   const weights = WEIGHTS[profile]
   const framing = random.chance(weights.identityCoding) ? 'identity' : random.pick(['length', 'chunked', 'connection'] as const)
   return {
@@ -111,12 +111,12 @@
   }
 }
 
-function drawStatus (random: Random, { failure, nonRunRefusal, refusal }: Weights, asked: AskedFor): AnswerScript['status'] {
+function drawStatus (random: Random, { failure, nonRunRefusal, refusal }: Weights, asked: RequestPurpose): AnswerScript['status'] {
   if (random.chance(asked === 'run' ? refusal : nonRunRefusal)) return random.pick([503, 503, 503, 429, 421] as const)
   return asked === 'run' && random.chance(failure) ? 500 : 200
 }
 
-function drawBodyBytes (random: Random, { huge, large }: Weights, asked: AskedFor): number {
+function drawBodyBytes (random: Random, { huge, large }: Weights, asked: RequestPurpose): number {
   if (asked !== 'run') return NON_RUN_BODY_BYTES
   if (!random.chance(large)) return random.pick(SMALL_BYTES)
   return random.chance(huge) ? HUGE_BYTES : random.pick(LARGE_BYTES)
@@ -131,7 +131,7 @@
   }
 }
 
-function drawDuplicate (random: Random): ScriptDouble {
+function drawDuplicate (random: Random): ScriptDuplicate {
   return {
     part: random.pick(['whole', 'whole', 'whole', 'body_cut', 'head_cut', 'head_cut', 'line_cut'] as const),
     when: random.pick(['late', 'late', 'with_next', 'same_segment'] as const),
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersReplica.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersReplica.ts
@@ -12,7 +12,7 @@
 import { cutPosition, encodeDuplicate, endsConnection, writeResponse } from './BendfallFakesAnswersPlay.js'
 import { createRequestReader } from './BendfallFakesAnswersRequests.js'
 import type { RequestHead } from './BendfallFakesAnswersRequests.js'
-import type { AnswerScript, AskedFor, ScriptIdleEnd } from './BendfallFakesAnswersScript.js'
+import type { AnswerScript, RequestPurpose, ScriptIdleEnd } from './BendfallFakesAnswersScript.js'
 import { describeScript, isCloseDelimited } from './BendfallFakesAnswersScript.js'
 import { digestOf } from './BendfallFakesAnswersTruth.js'
 import type { AnswersTruth, Arrival, SentResponse } from './BendfallFakesAnswersTruth.js'
@@ -20,7 +20,7 @@
 /** A request for which a script is chosen. */
 export interface ScriptedRequest {
   readonly replicaId: string
-  readonly asked: AskedFor
+  readonly asked: RequestPurpose
   readonly requestId: string
   /** Number of requests that reached the replica before. */
   readonly serial: number
@@ -45,7 +45,7 @@
 /** Number of events in a stream: few, so that a run of the fuzzer stays short. */
 export const STREAM_EVENTS = 5
 
-const CONTROL_CALLS: ReadonlyArray<readonly [string, AskedFor]> = [['/api/hold-take', 'hold'], ['/api/hold-drop/', 'drop'], ['/api/kv-handle/', 'free']]
+const CONTROL_CALLS: ReadonlyArray<readonly [string, RequestPurpose]> = [['/api/hold-take', 'hold'], ['/api/hold-drop/', 'drop'], ['/api/kv-handle/', 'free']]
 
 /**
  * Starts a scripted replica on a free port.
@@ -163,7 +163,7 @@
   else socket.resetAndDestroy()
 }
 
-function classifyRequest ({ headers, path }: RequestHead): AskedFor {
+function classifyRequest ({ headers, path }: RequestHead): RequestPurpose {
   const controlCall = CONTROL_CALLS.find(([prefix]) => path.startsWith(prefix))
   if (controlCall !== undefined) return controlCall[1]
   return headers.get('x-serving-stage') === 'prefill' ? 'prefill' : 'run'
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersScript.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersScript.ts
@@ -8,7 +8,7 @@
 export type ScriptFraming = 'chunked' | 'connection' | 'identity' | 'length'
 
 /** Operation that a request asks a replica for. */
-export type AskedFor = 'drop' | 'free' | 'hold' | 'prefill' | 'run'
+export type RequestPurpose = 'drop' | 'free' | 'hold' | 'prefill' | 'run'
 
 /** Where and how a response is cut off. */
 export interface ScriptCut {
@@ -23,7 +23,7 @@
 }
 
 /** A duplicate response to the same request. */
-export interface ScriptDouble {
+export interface ScriptDuplicate {
   /** How much of the response is repeated; `line_cut` ends after the status code. */
   readonly part: 'body_cut' | 'head_cut' | 'line_cut' | 'whole'
   /** In the segment of the first response, some time after it, or directly before the next response on the connection. */
@@ -60,7 +60,7 @@
   /** Whether the last event lacks its terminating empty line. */
   readonly isLastOpen: boolean
   readonly cut?: ScriptCut
-  readonly double?: ScriptDouble
+  readonly double?: ScriptDuplicate
   /** End of the connection while it is idle; it may hit the next request if that arrives sooner. */
   readonly idleEnd?: ScriptIdleEnd
   /** Whether the response begins before the request body has been read. */
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersStage.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersStage.ts
@@ -44,7 +44,7 @@
  * @param options - replicas and their scripts
  * @param run - test body with calls and checks
  */
-export async function onAnswersStage (options: HarnessOptions, run: (harness: AnswersHarness) => Promise<void>): Promise<void> {
+export async function withAnswersHarness (options: HarnessOptions, run: (harness: AnswersHarness) => Promise<void>): Promise<void> {
   const { replicaIds, scriptOf } = options
   const places = REPLICA_PLACES.filter(({ replicaId }) => replicaIds?.includes(replicaId) ?? true)
   const replicas: AnswersReplica[] = []
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersTruth.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersTruth.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { createHash } from 'node:crypto'
-import type { AskedFor, ScriptFraming } from './BendfallFakesAnswersScript.js'
+import type { RequestPurpose, ScriptFraming } from './BendfallFakesAnswersScript.js'
 
 /** A response as it was sent. */
 export interface SentResponse {
@@ -22,7 +22,7 @@
 export interface Arrival {
   readonly replicaId: string
   readonly connection: number
-  readonly asked: AskedFor
+  readonly asked: RequestPurpose
   readonly isStream: boolean
   readonly requestId: string
   readonly method: string
--- a/packages/bendfall-fakes/src/fleet/soak/BendfallFakesFleetProxy.ts
+++ b/packages/bendfall-fakes/src/fleet/soak/BendfallFakesFleetProxy.ts
@@ -14,7 +14,7 @@
   /** `ip:port`. */
   readonly address: string
   /** Applies a fault to all further traffic until called with undefined. */
-  readonly harm: (fault: ProxyFault | undefined) => void
+  readonly injectFault: (fault: ProxyFault | undefined) => void
   /** Stalls all open connections permanently without closing them; new ones work. */
   readonly silence: () => void
   /** Resets all open connections. */
@@ -77,7 +77,7 @@
   const reset = (): void => { for (const socket of sockets) socket.resetAndDestroy() }
   return {
     address: `${host}:${(server.address() as AddressInfo).port}`,
-    harm: (newFault) => { fault = newFault },
+    injectFault: (newFault) => { fault = newFault },
     silence: () => { for (const socket of sockets) silenced.add(socket) },
     reset,
     close: () => new Promise((resolve) => {
--- a/packages/bendfall-fakes/src/fleet/soak/BendfallFakesFleetSoak.ts
+++ b/packages/bendfall-fakes/src/fleet/soak/BendfallFakesFleetSoak.ts
@@ -117,7 +117,7 @@
       ...Array.from({ length: FAULT_SERIES }, (_, index) => injectFaults(fleet, createDraw(seed * FAULT_SERIES + index), names, faults, isOver))
     ])
     const evidence = { fleet, records, isUndisturbed: createUndisturbedCheck(faults) }
-    const violations = [...findViolations(fleet, records), ...findCustomerViolations(fleet, records), ...findLateArrivals(evidence), ...findLateToLeaving(evidence), ...findExcessInBackoff(evidence), ...findCrashViolations(evidence), ...findOverLimit(fleet, records, createEntryUndisturbedCheck(fleet, faults)), ...findFenceFaults(fleet.models.flatMap(({ replica }) => replica.orders)), ...await findUnrecovered(fleet, seed), ...await findUnreleased(fleet)]
+    const violations = [...findViolations(fleet, records), ...findCustomerViolations(fleet, records), ...findLateArrivals(evidence), ...findLateToLeaving(evidence), ...findExcessInBackoff(evidence), ...findCrashViolations(evidence), ...findOverLimit(fleet, records, createEntryUndisturbedCheck(fleet, faults)), ...findFencingViolations(fleet.models.flatMap(({ replica }) => replica.orders)), ...await findUnrecovered(fleet, seed), ...await findUnreleased(fleet)]
     const answered = records.filter(({ isComplete, status }) => status === 200 && isComplete).length
     const refused = records.filter(({ status }) => NOT_RUN_STATUSES.has(status)).length
     const orders = fleet.models.reduce((sum, { replica }) => sum + replica.orders.length, 0)
@@ -194,7 +194,7 @@
  * @param orders - orders that arrived at all replicas, in any order
  * @returns one line per violation
  */
-export function findFenceFaults (orders: readonly SeenOrder[]): string[] {
+export function findFencingViolations (orders: readonly SeenOrder[]): string[] {
   const holders = new Map<number, string>()
   let highest = 0
   return [...orders].sort((one, other) => one.atMs - other.atMs).flatMap(({ atMs, fence, holder }) => {
@@ -248,7 +248,7 @@
 
 // After the last fault every entry must serve calls again.
 async function findUnrecovered (fleet: SoakFleet, seed: number): Promise<string[]> {
-  for (const { replica } of [...fleet.models, ...fleet.plain]) replica.heal()
+  for (const { replica } of [...fleet.models, ...fleet.plain]) replica.clearFaults()
   await sleep(RECOVERY_MS)
   const unserved: string[] = []
   for (let i = 0; i < RECOVERY_CALLS; i++) {
