--- a/packages/bendfall-fakes/src/fleet/soak/BendfallFakesSoakFaults.ts
+++ b/packages/bendfall-fakes/src/fleet/soak/BendfallFakesSoakFaults.ts
@@ -57,18 +57,18 @@
     if (notices.some((one) => one.replica === replica && one.untilMs === undefined)) return 'skipped'
     const seconds = draw(BACKOFF_S)
     const fromMs = performance.now()
-    replica.askForBackoff(seconds)
+    replica.requestBackoff(seconds)
     await sleep(FAULT_MS[0])
-    replica.askForBackoff(0)
+    replica.requestBackoff(0)
     notices.push({ replica, kind: 'backs_off', fromMs, untilMs: fromMs + seconds * MS_PER_SECOND })
     await sleep(seconds * MS_PER_SECOND)
     return `${replicaId} ${seconds} s`
   },
   cut_off: async ({ storeProxy }, draw) => {
     const fault = draw(['one_way', 'silent'] as const)
-    storeProxy.harm(fault)
+    storeProxy.injectFault(fault)
     await sleep(PARTITION_MS)
-    storeProxy.harm(undefined)
+    storeProxy.injectFault(undefined)
     return fault
   },
   foreign: async ({ plain, store }, draw) => {
@@ -119,9 +119,9 @@
   proxy: async (fleet, draw) => {
     const proxy = draw(proxiesOf(fleet))
     const fault = draw(PROXY_FAULTS)
-    proxy.harm(fault)
+    proxy.injectFault(fault)
     await sleep(draw(FAULT_MS))
-    proxy.harm(undefined)
+    proxy.injectFault(undefined)
     return `${fault} ${proxy.address}`
   },
   replica: async (fleet, draw) => {
@@ -158,13 +158,13 @@
     return 'store'
   },
   store_restored: async ({ configure, models, plain, store }, draw) => {
-    const copyAgeMs = draw(BACKUP_AGES_MS)
-    await store.restore({ copyAgeMs, awayMs: draw(FAULT_MS) })
+    const backupAgeMs = draw(BACKUP_AGES_MS)
+    await store.restore({ backupAgeMs, outageMs: draw(FAULT_MS) })
     for (const write of [configure, ...[...models, ...plain].map(({ rewriteRegistration }) => rewriteRegistration)]) {
       await sleep(draw([0, REWRITE_MS / 10]))
       write()
     }
-    return `store, from a backup ${copyAgeMs} ms old`
+    return `store, from a backup ${backupAgeMs} ms old`
   },
   say_leaving: async (fleet, draw) => {
     const { notices, plain } = fleet
@@ -172,7 +172,7 @@
     const target = draw(plain)
     const notice = { replica: target.replica, kind: 'leaves' as const, fromMs: performance.now(), untilMs: undefined as number | undefined }
     notices.push(notice)
-    target.replica.sayLeaving()
+    target.replica.advertiseLeaving()
     await sleep(ABSENCE_MS)
     endNotices(fleet, target.replica)
     target.replica.restart()
@@ -192,10 +192,10 @@
   for (let i = 0; i < LIMIT_CHANGES; i++) {
     const perS = draw(LIMITS_PER_S)
     advertised.push(perS)
-    for (const replica of replicas) replica.nameLimit(perS)
+    for (const replica of replicas) replica.advertiseLimit(perS)
     await sleep(draw(LIMIT_MS))
   }
-  for (const replica of replicas) replica.nameLimit(undefined)
+  for (const replica of replicas) replica.advertiseLimit(undefined)
   return `${name} ${advertised.join(', ')} requests/s`
 }
 
--- a/packages/bendfall-fakes/src/fleet/soak/BendfallFakesSoakLimits.ts
+++ b/packages/bendfall-fakes/src/fleet/soak/BendfallFakesSoakLimits.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { findWorstWindow } from '../BendfallFakesRateJudge.js'
-import type { PassedAnswer } from '../BendfallFakesRateJudge.js'
+import type { ForwardedResponse } from '../BendfallFakesRateJudge.js'
 import type { CallRecord } from './BendfallFakesFleetCaller.js'
 import type { SoakFleet } from './BendfallFakesSoakFleet.js'
 
@@ -20,7 +20,7 @@
  * @returns one line per violation
  */
 export function findOverLimit ({ models, plain }: Pick<SoakFleet, 'models' | 'plain'>, records: readonly CallRecord[], isEntryUndisturbed: IsEntryUndisturbed): string[] {
-  const answers = records.flatMap(({ answeredAtMs, entry, replicaId, requestId }): PassedAnswer[] => [{ requestId, entry, answeredAtMs: answeredAtMs ?? Infinity, replicaId }])
+  const answers = records.flatMap(({ answeredAtMs, entry, replicaId, requestId }): ForwardedResponse[] => [{ requestId, entry, answeredAtMs: answeredAtMs ?? Infinity, replicaId }])
   return [...models, ...plain].flatMap(({ replica, replicaId }) => {
     const worst = findWorstWindow({ replica, replicaId, answers, isCounted: isEntryUndisturbed })
     if (worst === undefined || worst.over <= 0) return []
--- a/packages/bendfall-fakes/src/index.ts
+++ b/packages/bendfall-fakes/src/index.ts
@@ -8,7 +8,7 @@
 export { createEngineStandIn } from './BendfallFakesEngine.js'
 export type { EngineOptions, EngineSettings, EngineStandIn, EngineState } from './BendfallFakesEngine.js'
 export { expectedTokens } from './BendfallFakesEngineDecode.js'
-export type { HeldView } from './BendfallFakesEngineLedger.js'
+export type { AttemptView as HeldView } from './BendfallFakesEngineLedger.js'
 export type { Fault, FaultMode } from './BendfallFakesFaults.js'
 export { createInstanceListStandIn } from './BendfallFakesInstances.js'
 export type { InstanceListOptions, InstanceListStandIn } from './BendfallFakesInstances.js'
