--- a/packages/bendfall-fakes/src/BendfallFakesSoak.ts
+++ b/packages/bendfall-fakes/src/BendfallFakesSoak.ts
@@ -15,8 +15,8 @@
 import type { ClusterFault, Draw } from './BendfallFakesClusterFaults.js'
 import { startLoad } from './BendfallFakesClusterLoad.js'
 import { planCluster, planClusterIntent } from './BendfallFakesClusterPlan.js'
-import { findBookingViolations, findChatViolations } from './BendfallFakesClusterTruth.js'
-import type { BookingRecord } from './BendfallFakesClusterTruth.js'
+import { findBookingViolations, findChatViolations } from './BendfallFakesClusterViolations.js'
+import type { BookingRecord } from './BendfallFakesClusterViolations.js'
 import { watchVersions } from './BendfallFakesClusterVersions.js'
 import { eventually } from './BendfallFakesClusterWait.js'
 
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAllotments.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAllotments.test.ts
@@ -3,8 +3,8 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { ALLOTMENT_BOUNDS, callEntry, withCustomerHarness, sentAtMs, withKey } from './CustomerScene.js'
-import type { CustomerResponse, CustomerEntry, CustomerHarness, Tenant } from './CustomerScene.js'
+import { ALLOTMENT_BOUNDS, callEntry, withCustomerHarness, sentAtMs, withKey } from './CustomerHarness.js'
+import type { CustomerResponse, CustomerEntry, CustomerHarness, Tenant } from './CustomerHarness.js'
 
 const CALL_TOKENS = 200
 const LIMIT = { unit: 'token_stream', 'uncached-tokens': CALL_TOKENS, 'rate-per-s': 4_000, burst: 4_000 }
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAnswersForeignMemory.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAnswersForeignMemory.test.ts
@@ -7,7 +7,7 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import type { RequestPurpose, ScriptDuplicate } from '../../fleet/answers/BendfallFakesAnswersScript.js'
-import { withAnswersHarness } from '../../fleet/answers/BendfallFakesAnswersStage.js'
+import { withAnswersHarness } from '../../fleet/answers/BendfallFakesAnswersHarness.js'
 
 const CALLS = 4
 const PREFILL_MS = 80
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAnswersForeignRefusal.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAnswersForeignRefusal.test.ts
@@ -7,7 +7,7 @@
 import * as assert from 'uvu/assert'
 import type { RequestPurpose } from '../../fleet/answers/BendfallFakesAnswersScript.js'
 import type { ScriptedRequest } from '../../fleet/answers/BendfallFakesAnswersReplica.js'
-import { withAnswersHarness } from '../../fleet/answers/BendfallFakesAnswersStage.js'
+import { withAnswersHarness } from '../../fleet/answers/BendfallFakesAnswersHarness.js'
 
 const REFUSAL_DELAY_MS = 30
 const PREFILL_MS = 100
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAnswersJoinedHead.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAnswersJoinedHead.test.ts
@@ -7,7 +7,7 @@
 import * as assert from 'uvu/assert'
 import type { ScriptedRequest } from '../../fleet/answers/BendfallFakesAnswersReplica.js'
 import type { ScriptDuplicate } from '../../fleet/answers/BendfallFakesAnswersScript.js'
-import { withAnswersHarness } from '../../fleet/answers/BendfallFakesAnswersStage.js'
+import { withAnswersHarness } from '../../fleet/answers/BendfallFakesAnswersHarness.js'
 
 const IN_STATUS_LINE: ScriptDuplicate = { part: 'line_cut', when: 'with_next', afterMs: 0, share: 0 }
 
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAnswersReset.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAnswersReset.test.ts
@@ -7,8 +7,8 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import type { ScriptCut } from '../../fleet/answers/BendfallFakesAnswersScript.js'
-import type { AnswersKind } from '../../fleet/answers/BendfallFakesAnswersScene.js'
-import { withAnswersHarness } from '../../fleet/answers/BendfallFakesAnswersStage.js'
+import type { AnswersKind } from '../../fleet/answers/BendfallFakesAnswersEntry.js'
+import { withAnswersHarness } from '../../fleet/answers/BendfallFakesAnswersHarness.js'
 
 const CALLS = 20
 
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAnswersResumedEnd.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAnswersResumedEnd.test.ts
@@ -8,7 +8,7 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import type { ScriptCut, ScriptFraming } from '../../fleet/answers/BendfallFakesAnswersScript.js'
-import { withAnswersHarness } from '../../fleet/answers/BendfallFakesAnswersStage.js'
+import { withAnswersHarness } from '../../fleet/answers/BendfallFakesAnswersHarness.js'
 
 const CUTS_AT_END = {
   chunked: { how: 'fin', at: 'last_byte', share: 0, afterMs: 0 },
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAnswersStreamTail.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAnswersStreamTail.test.ts
@@ -8,8 +8,8 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import type { ScriptFraming } from '../../fleet/answers/BendfallFakesAnswersScript.js'
-import type { ScriptChange } from '../../fleet/answers/BendfallFakesAnswersStage.js'
-import { withAnswersHarness } from '../../fleet/answers/BendfallFakesAnswersStage.js'
+import type { ScriptChange } from '../../fleet/answers/BendfallFakesAnswersHarness.js'
+import { withAnswersHarness } from '../../fleet/answers/BendfallFakesAnswersHarness.js'
 
 const FORMS: Readonly<Record<string, ScriptChange>> = {
   'whose last event lacks its empty line': { isLastOpen: true },
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAnswersTransferCoding.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAnswersTransferCoding.test.ts
@@ -5,7 +5,7 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import type { ScriptCut } from '../../fleet/answers/BendfallFakesAnswersScript.js'
-import { withAnswersHarness } from '../../fleet/answers/BendfallFakesAnswersStage.js'
+import { withAnswersHarness } from '../../fleet/answers/BendfallFakesAnswersHarness.js'
 
 const CUTS: Readonly<Record<string, ScriptCut>> = {
   'reset in its middle': { how: 'reset', at: 'body', share: 0.5, afterMs: 30 },
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesCrashingRequest.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesCrashingRequest.test.ts
@@ -1,8 +1,8 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { callCrashEntry, withCrashHarness, POISON_PATH } from './CrashScene.js'
-import type { CrashResponse, CrashEntry } from './CrashScene.js'
+import { callCrashEntry, withCrashHarness, POISON_PATH } from './CrashHarness.js'
+import type { CrashResponse, CrashEntry } from './CrashHarness.js'
 
 /** Time in which all entries have to learn of the third crash, and the number of sends allowed after it. */
 const PROPAGATION_MS = 3_000
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesCustomers.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesCustomers.test.ts
@@ -3,8 +3,8 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { callEntry, withCustomerHarness, REVOKED_WITHIN_MS, withKey } from './CustomerScene.js'
-import type { CustomerResponse, CustomerCall, CustomerEntry, CustomerHarness } from './CustomerScene.js'
+import { callEntry, withCustomerHarness, REVOKED_WITHIN_MS, withKey } from './CustomerHarness.js'
+import type { CustomerResponse, CustomerCall, CustomerEntry, CustomerHarness } from './CustomerHarness.js'
 
 const ACME = { name: 'acme', 'api-keys': ['secret-of-acme', 'second-of-acme'] }
 const BOLT = { name: 'bolt', 'api-keys': ['secret-of-bolt'] }
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesEnds.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesEnds.test.ts
@@ -1,8 +1,8 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { withEndsHarness, LARGE_BODY, parseResponses, waitUntil } from './EndsScene.js'
-import type { EndsHarness, RawCaller } from './EndsScene.js'
+import { withEndsHarness, LARGE_BODY, parseResponses, waitUntil } from './EndsHarness.js'
+import type { EndsHarness, RawCaller } from './EndsHarness.js'
 
 // Guards against a truncated response that looks complete to its caller. The entry was forwarding
 // a close-delimited stream when its process ended, and the kernel closed the connections of the
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesEndsConnections.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesEndsConnections.test.ts
@@ -1,8 +1,8 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { withEndsHarness, parseResponses, waitUntil } from './EndsScene.js'
-import type { EndsHarness } from './EndsScene.js'
+import { withEndsHarness, parseResponses, waitUntil } from './EndsHarness.js'
+import type { EndsHarness } from './EndsHarness.js'
 
 // Guards against wrong or truncated responses caused by bytes that follow a request on its
 // connection. The server closed a connection gracefully in the middle of a close-delimited
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesEra.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesEra.test.ts
@@ -4,7 +4,7 @@
 import * as assert from 'uvu/assert'
 import type { FleetStore } from '../../fleet/BendfallFakesFleetStore.js'
 import { startFleetStore } from '../../fleet/BendfallFakesFleetStore.js'
-import { ip } from './EntryScene.js'
+import { ip } from './EntryHarness.js'
 
 const DRILL = { backupAgeMs: 0, outageMs: 30 }
 
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesFleet.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesFleet.test.ts
@@ -12,7 +12,7 @@
 import { startFleetReplica } from '../../fleet/BendfallFakesFleetReplica.js'
 import type { FleetStore } from '../../fleet/BendfallFakesFleetStore.js'
 import { startFleetStore } from '../../fleet/BendfallFakesFleetStore.js'
-import { ip } from './EntryScene.js'
+import { ip } from './EntryHarness.js'
 
 const HOST = 'quotes.example'
 const PEER_PORT = 17_380
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesForeign.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesForeign.test.ts
@@ -3,7 +3,7 @@
 import * as assert from 'uvu/assert'
 import { startFleetReplica } from '../../fleet/BendfallFakesFleetReplica.js'
 import { startFleetProxy } from '../../fleet/soak/BendfallFakesFleetProxy.js'
-import { call, CALLERS_ENDPOINT, withEntryHarness, ip, registrationOf } from './EntryScene.js'
+import { call, CALLERS_ENDPOINT, withEntryHarness, ip, registrationOf } from './EntryHarness.js'
 
 /** Time after which the entry has received a write: for writes in a row at most 0.35 of the 2 s within which a change must be known. */
 const WATCH_DELAY_MS = 800
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesLeaving.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesLeaving.test.ts
@@ -14,7 +14,7 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { callFor, withEntryHarness, registrationOf } from './EntryScene.js'
+import { callFor, withEntryHarness, registrationOf } from './EntryHarness.js'
 
 /** Time after its announcement within which a replica that shuts down may still get new requests. */
 const DRAIN_MS = 2_000
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesRequestLimitNotices.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesRequestLimitNotices.test.ts
@@ -2,9 +2,9 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { callEntry, withCustomerHarness } from './CustomerScene.js'
-import type { CustomerEntry } from './CustomerScene.js'
-import { LIMIT_PER_S, runLimitScenario } from './LimitScene.js'
+import { callEntry, withCustomerHarness } from './CustomerHarness.js'
+import type { CustomerEntry } from './CustomerHarness.js'
+import { LIMIT_PER_S, runLimitScenario } from './LimitScenario.js'
 
 const SECONDS = 9
 
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesRequestLimits.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesRequestLimits.test.ts
@@ -3,8 +3,8 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { runLimitScenario } from './LimitScene.js'
-import type { LimitOutcome, LimitScenario } from './LimitScene.js'
+import { runLimitScenario } from './LimitScenario.js'
+import type { LimitOutcome, LimitScenario } from './LimitScenario.js'
 
 const SECONDS = 9
 
--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesStreamEnd.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesStreamEnd.test.ts
@@ -5,8 +5,8 @@
 import type { Socket } from 'node:net'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { sendRawRequest, bodyOf, startRawReplicaHarness } from './RawReplicaScene.js'
-import type { RawReplicaHarness } from './RawReplicaScene.js'
+import { sendRawRequest, bodyOf, startRawReplicaHarness } from './RawReplicaHarness.js'
+import type { RawReplicaHarness } from './RawReplicaHarness.js'
 
 const EVENTS = 'id: 1\ndata: one\n\nid: 2\ndata: two\n\n'
 const UNTERMINATED_EVENT = 'id: 3\ndata: three'
--- a/packages/bendfall-fakes/src/__tests__/unit/CrashScene.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/CrashHarness.ts
@@ -9,7 +9,7 @@
 import { startFleetReplica } from '../../fleet/BendfallFakesFleetReplica.js'
 import type { FleetStore } from '../../fleet/BendfallFakesFleetStore.js'
 import { startFleetStore } from '../../fleet/BendfallFakesFleetStore.js'
-import { ip, registrationOf } from './EntryScene.js'
+import { ip, registrationOf } from './EntryHarness.js'
 
 const HOST = 'rates.example'
 
--- a/packages/bendfall-fakes/src/__tests__/unit/CustomerScene.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/CustomerHarness.ts
@@ -10,7 +10,7 @@
 import { startFleetStore } from '../../fleet/BendfallFakesFleetStore.js'
 import type { FleetProxy } from '../../fleet/soak/BendfallFakesFleetProxy.js'
 import { startFleetProxy } from '../../fleet/soak/BendfallFakesFleetProxy.js'
-import { ip, registrationOf } from './EntryScene.js'
+import { ip, registrationOf } from './EntryHarness.js'
 
 const HOST = 'rates.example'
 const CALLERS_PORT = 17_381
--- a/packages/bendfall-fakes/src/__tests__/unit/EndsScene.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/EndsHarness.ts
@@ -9,7 +9,7 @@
 import { startProcess } from '../../BendfallFakesDemoProcess.js'
 import type { ListeningProcess } from '../../BendfallFakesDemoProcess.js'
 import { startFleetStore } from '../../fleet/BendfallFakesFleetStore.js'
-import { ip } from './EntryScene.js'
+import { ip } from './EntryHarness.js'
 
 const MAIN_MODULE = fileURLToPath(new URL('./BendfallPlatformMain.js', import.meta.resolve('bendfall')))
 const HOST = 'ends.example'
--- a/packages/bendfall-fakes/src/__tests__/unit/LimitScene.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/LimitScenario.ts
@@ -1,8 +1,8 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { ForwardedResponse, RateWindow } from '../../fleet/BendfallFakesRateJudge.js'
 import { findWorstWindow } from '../../fleet/BendfallFakesRateJudge.js'
-import { callEntry, withCustomerHarness } from './CustomerScene.js'
-import type { CustomerResponse, CustomerEntry, CustomerHarness } from './CustomerScene.js'
+import { callEntry, withCustomerHarness } from './CustomerHarness.js'
+import type { CustomerResponse, CustomerEntry, CustomerHarness } from './CustomerHarness.js'
 
 /** Requests per second that a limited replica accepts from all entries together. */
 export const LIMIT_PER_S = 5.1
--- a/packages/bendfall-fakes/src/__tests__/unit/RawReplicaScene.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/RawReplicaHarness.ts
@@ -5,7 +5,7 @@
 import { createLogger } from 'bendfall-node'
 import { createPlatformKeyValue, PLATFORM_DIALECT } from 'bendfall-platform-adapter'
 import { startFleetStore } from '../../fleet/BendfallFakesFleetStore.js'
-import { call, CALLERS_ENDPOINT, ip } from './EntryScene.js'
+import { call, CALLERS_ENDPOINT, ip } from './EntryHarness.js'
 
 const HOST = 'raw.example'
 const READY_ENDPOINT = { host: CALLERS_ENDPOINT.host, port: 17_382 }
--- a/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersFuzz.ts
+++ b/packages/bendfall-fakes/src/fleet/answers/BendfallFakesAnswersFuzz.ts
@@ -14,8 +14,8 @@
 import { ANSWER_PROFILES } from './BendfallFakesAnswersProfiles.js'
 import { createRandom } from './BendfallFakesAnswersRandom.js'
 import type { Random } from './BendfallFakesAnswersRandom.js'
-import { ANSWERS_HOST, REPLICA_PLACES, startAnswersEntry } from './BendfallFakesAnswersScene.js'
-import type { AnswersKind } from './BendfallFakesAnswersScene.js'
+import { ANSWERS_HOST, REPLICA_PLACES, startAnswersEntry } from './BendfallFakesAnswersEntry.js'
+import type { AnswersKind } from './BendfallFakesAnswersEntry.js'
 import type { AnswersTruth } from './BendfallFakesAnswersTruth.js'
 
 /** Parameters of the run of a seed. */
