--- a/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAllotments.test.ts
+++ b/packages/bendfall-fakes/src/__tests__/unit/BendfallFakesAllotments.test.ts
@@ -115,12 +115,12 @@
 })
 
 const LEADER_CHANGES: ReadonlyArray<readonly [string, (scene: CustomerHarness, index: number) => Promise<void>]> = [
-  ['loses contact with the store', async ({ entries }, index) => { entries[index]?.proxy.injectFault('silent') }],
-  ['shuts down', async ({ entries }, index) => { await entries[index]?.stop() }]
+  ['while the leader loses contact with the store, no units are granted twice and a customer at its usual rate is served', async ({ entries }, index) => { entries[index]?.proxy.injectFault('silent') }],
+  ['while the leader shuts down, no units are granted twice and a customer at its usual rate is served', async ({ entries }, index) => { await entries[index]?.stop() }]
 ]
 
-for (const [what, change] of LEADER_CHANGES) {
-  test(`while the leader ${what}, no units are granted twice and a customer at its usual rate is served`, async () => {
+for (const [title, change] of LEADER_CHANGES) {
+  test(title, async () => {
     await withCustomerHarness(4, [FLOOD, CALM], async (scene) => {
       await waitForLeaders(scene)
       const index = leaderIndex(scene, 'primary')
